--- a/libraries/admission/include/godwit/admission/room_request.hpp
+++ b/libraries/admission/include/godwit/admission/room_request.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <godwit/admission/generation_size.hpp>
-#include <godwit/admission/waiting_plan.hpp>
+#include <godwit/admission/wait_policy.hpp>
 #include <godwit/placement/placer.hpp>
 #include <godwit/routing/service.hpp>
 
@@ -14,7 +14,7 @@
 [[nodiscard]] placement::placement_request room_request(
     const routing::service& service,
     const std::optional<generation_size>& size,
-    const waiting_plan& plan,
-    waiting_stage stage);
+    const wait_policy& plan,
+    wait_stage stage);
 
 } // namespace godwit::admission
--- a/libraries/admission/include/godwit/admission/waiting_plan.hpp
+++ b/libraries/admission/include/godwit/admission/wait_policy.hpp
@@ -7,7 +7,7 @@
 namespace godwit::admission {
 
 /// What is known of a request that wants room.
-struct waiting_terms
+struct wait_parameters
 {
     core::time_point arrived;
     core::time_point ends;      ///< Its caller leaves then.
@@ -15,11 +15,11 @@
     int priority = 0;           ///< 0 is the most urgent.
 
     friend bool
-    operator==(const waiting_terms&, const waiting_terms&) = default;
+    operator==(const wait_parameters&, const wait_parameters&) = default;
 };
 
 /// Why a request waits, or that it does not any more.
-enum class waiting_stage
+enum class wait_stage
 {
     timely, ///< It can still be begun in time.
     late,   ///< It will be late, and its caller still wants it.
@@ -27,7 +27,7 @@
 };
 
 /// The name of `stage` as it appears in logs.
-[[nodiscard]] const char* to_string(waiting_stage stage) noexcept;
+[[nodiscard]] const char* to_string(wait_stage stage) noexcept;
 
 /// How one request waits for room, when load is above what the engines hold:
 /// in which order, how often it looks, and when it is turned away.
@@ -37,36 +37,36 @@
 /// still is served out of what is left over: a caller who waits for minutes
 /// of text wants it late rather than not at all. What would end only after
 /// its caller has left is turned away while it can still come back.
-class waiting_plan
+class wait_policy
 {
 public:
-    [[nodiscard]] static waiting_plan create(const waiting_terms& terms);
+    [[nodiscard]] static wait_policy create(const wait_parameters& terms);
 
-    [[nodiscard]] waiting_stage stage(core::time_point now) const;
+    [[nodiscard]] wait_stage stage(core::time_point now) const;
 
     /// When the stage ends, unless there is room before.
-    [[nodiscard]] core::time_point stage_end(waiting_stage stage) const;
+    [[nodiscard]] core::time_point stage_end(wait_stage stage) const;
 
     /// The place in the line: lower goes first.
-    [[nodiscard]] int rank(waiting_stage stage) const;
+    [[nodiscard]] int rank(wait_stage stage) const;
 
     /// The earliest next look for room after one that found none.
     [[nodiscard]] core::time_point
-    next_look(waiting_stage stage, core::time_point now) const;
+    next_attempt(wait_stage stage, core::time_point now) const;
 
     /// Prompt tokens that an engine may have to read, with the request's own,
     /// for its first event to be in time.
-    [[nodiscard]] std::uint64_t most_unread_tokens(waiting_stage stage) const;
+    [[nodiscard]] std::uint64_t most_unread_tokens(wait_stage stage) const;
 
     /// When the caller of a request that is turned away should come back.
-    [[nodiscard]] core::duration come_back_after(core::time_point now) const;
+    [[nodiscard]] core::duration retry_after(core::time_point now) const;
 
-    friend bool operator==(const waiting_plan&, const waiting_plan&) = default;
+    friend bool operator==(const wait_policy&, const wait_policy&) = default;
 
 private:
-    explicit waiting_plan(const waiting_terms& terms) : terms_(terms) {}
+    explicit wait_policy(const wait_parameters& terms) : terms_(terms) {}
 
-    waiting_terms terms_;
+    wait_parameters terms_;
 };
 
 } // namespace godwit::admission
--- a/libraries/admission/src/room_request.cpp
+++ b/libraries/admission/src/room_request.cpp
@@ -5,8 +5,8 @@
 placement::placement_request room_request(
     const routing::service& service,
     const std::optional<generation_size>& size,
-    const waiting_plan& plan,
-    waiting_stage stage)
+    const wait_policy& plan,
+    wait_stage stage)
 {
     placement::placement_request wanted;
     wanted.service = &service;
@@ -15,7 +15,7 @@
         wanted.work = size->work();
     if (size && size->is_short())
         wanted.purpose = placement::placement_purpose::short_start;
-    else if (stage == waiting_stage::late)
+    else if (stage == wait_stage::late)
         wanted.purpose = placement::placement_purpose::late_start;
     wanted.most_unread_tokens = plan.most_unread_tokens(stage);
     return wanted;
--- a/libraries/admission/src/waiting_plan.cpp
+++ b/libraries/admission/src/wait_policy.cpp
@@ -1,4 +1,4 @@
-#include <godwit/admission/waiting_plan.hpp>
+#include <godwit/admission/wait_policy.hpp>
 
 #include <algorithm>
 #include <chrono>
@@ -39,38 +39,38 @@
 
 } // namespace
 
-const char* to_string(waiting_stage stage) noexcept
+const char* to_string(wait_stage stage) noexcept
 {
     switch (stage) {
-    case waiting_stage::timely:
+    case wait_stage::timely:
         return "timely";
-    case waiting_stage::late:
+    case wait_stage::late:
         return "late";
-    case waiting_stage::over:
+    case wait_stage::over:
         return "over";
     }
     return "over";
 }
 
-waiting_plan waiting_plan::create(const waiting_terms& terms)
+wait_policy wait_policy::create(const wait_parameters& terms)
 {
-    return waiting_plan(terms);
+    return wait_policy(terms);
 }
 
-waiting_stage waiting_plan::stage(core::time_point now) const
+wait_stage wait_policy::stage(core::time_point now) const
 {
-    if (now < stage_end(waiting_stage::timely))
-        return waiting_stage::timely;
-    if (now < stage_end(waiting_stage::late))
-        return waiting_stage::late;
-    return waiting_stage::over;
+    if (now < stage_end(wait_stage::timely))
+        return wait_stage::timely;
+    if (now < stage_end(wait_stage::late))
+        return wait_stage::late;
+    return wait_stage::over;
 }
 
-core::time_point waiting_plan::stage_end(waiting_stage stage) const
+core::time_point wait_policy::stage_end(wait_stage stage) const
 {
     const core::time_point timely_end =
         terms_.arrived + share_of(terms_.objective, timely_wait_share);
-    if (stage == waiting_stage::timely)
+    if (stage == wait_stage::timely)
         return timely_end;
     const core::duration longest = std::min(
         share_of(terms_.objective, longest_wait_objectives),
@@ -78,30 +78,30 @@
     return terms_.arrived + longest;
 }
 
-int waiting_plan::rank(waiting_stage stage) const
+int wait_policy::rank(wait_stage stage) const
 {
-    return stage == waiting_stage::timely ? terms_.priority
-                                          : terms_.priority + late_rank;
+    return stage == wait_stage::timely ? terms_.priority
+                                       : terms_.priority + late_rank;
 }
 
 core::time_point
-waiting_plan::next_look(waiting_stage stage, core::time_point now) const
+wait_policy::next_attempt(wait_stage stage, core::time_point now) const
 {
-    return stage == waiting_stage::timely ? now : now + late_look_span;
+    return stage == wait_stage::timely ? now : now + late_look_span;
 }
 
-std::uint64_t waiting_plan::most_unread_tokens(waiting_stage stage) const
+std::uint64_t wait_policy::most_unread_tokens(wait_stage stage) const
 {
     const auto objective_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(terms_.objective);
-    const double share = stage == waiting_stage::timely ? reading_share : 1.0;
+    const double share = stage == wait_stage::timely ? reading_share : 1.0;
     return static_cast<std::uint64_t>(
         share * read_tokens_per_ms * static_cast<double>(objective_ms.count()));
 }
 
 // The shortage has lasted for as long as the request waited, and may last as
 // long again.
-core::duration waiting_plan::come_back_after(core::time_point now) const
+core::duration wait_policy::retry_after(core::time_point now) const
 {
     return std::max(shortest_return, now - terms_.arrived);
 }
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -33,7 +33,7 @@
 void simulated_host::arrives(
     std::size_t generation, const generation_order& order, core::time_point now)
 {
-    const auto plan = admission::waiting_plan::create(
+    const auto plan = admission::wait_policy::create(
         {now, now + order.patience, order.objective, order.priority});
     waiting_.emplace(generation, waiting_generation{order, plan, now});
 }
@@ -103,7 +103,7 @@
     const send_function& send)
 {
     const auto stage = waiting.plan.stage(now);
-    waiting.next_look = waiting.plan.next_look(stage, now);
+    waiting.next_attempt = waiting.plan.next_attempt(stage, now);
     placement::placement_request wanted = admission::room_request(
         service_, size_of(waiting.order, 0), waiting.plan, stage);
     wanted.near = zone_;
@@ -126,7 +126,7 @@
 {
     for (const auto& [rank, generation] : line(now)) {
         const auto found = waiting_.find(generation);
-        if (found->second.next_look > now)
+        if (found->second.next_attempt > now)
             continue;
         if (!try_to_place(generation, found->second, now, send))
             return;
@@ -138,7 +138,7 @@
 {
     std::vector<std::size_t> over;
     for (const auto& [generation, waiting] : waiting_) {
-        if (waiting.plan.stage(now) == admission::waiting_stage::over)
+        if (waiting.plan.stage(now) == admission::wait_stage::over)
             over.push_back(generation);
     }
     for (const std::size_t generation : over)
--- a/libraries/replay/src/simulated_host.hpp
+++ b/libraries/replay/src/simulated_host.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <godwit/admission/generation_size.hpp>
-#include <godwit/admission/waiting_plan.hpp>
+#include <godwit/admission/wait_policy.hpp>
 #include <godwit/placement/event_rhythm.hpp>
 #include <godwit/placement/load_ledger.hpp>
 #include <godwit/placement/placer.hpp>
@@ -81,8 +81,8 @@
     struct waiting_generation
     {
         generation_order order;
-        admission::waiting_plan plan;
-        core::time_point next_look;
+        admission::wait_policy plan;
+        core::time_point next_attempt;
     };
 
     struct running_generation
--- a/services/entry/include/godwit/entry/call_log.hpp
+++ b/services/entry/include/godwit/entry/call_log.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <godwit/admission/request_fingerprint.hpp>
-#include <godwit/admission/waiting_plan.hpp>
+#include <godwit/admission/wait_policy.hpp>
 #include <godwit/core/error.hpp>
 #include <godwit/core/time.hpp>
 #include <godwit/entry/accepted_call.hpp>
@@ -37,7 +37,7 @@
 void log_placed(
     const accepted_call& call,
     const placement::placement_choice& choice,
-    admission::waiting_stage stage);
+    admission::wait_stage stage);
 
 /// A backend server kept no room for a request.
 void log_hold_failed(
--- a/services/entry/include/godwit/entry/room_search.hpp
+++ b/services/entry/include/godwit/entry/room_search.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <godwit/admission/generation_size.hpp>
-#include <godwit/admission/waiting_plan.hpp>
+#include <godwit/admission/wait_policy.hpp>
 #include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/reservation.hpp>
@@ -49,7 +49,7 @@
     /// The caller left.
     void stop();
 
-    [[nodiscard]] const admission::waiting_plan& plan() const noexcept
+    [[nodiscard]] const admission::wait_policy& plan() const noexcept
     {
         return plan_;
     }
@@ -57,15 +57,15 @@
 private:
     boost::asio::awaitable<std::optional<placement::placement_choice>> place();
     boost::asio::awaitable<std::optional<placement::placement_choice>>
-    place_in_stage(admission::waiting_stage stage);
+    place_in_stage(admission::wait_stage stage);
     boost::asio::awaitable<std::optional<found_room>>
     keep_room(placement::placement_choice choice);
     [[nodiscard]] placement::placement_request
-    wanted(admission::waiting_stage stage) const;
+    wanted(admission::wait_stage stage) const;
 
     entry_context& context_;
     std::shared_ptr<const accepted_call> call_;
-    admission::waiting_plan plan_;
+    admission::wait_policy plan_;
     std::optional<admission::generation_size> size_;
     std::vector<placement::server_id> excluded_;
     waiting_line::place* waiting_ = nullptr;
--- a/services/entry/src/call_log.cpp
+++ b/services/entry/src/call_log.cpp
@@ -61,7 +61,7 @@
 void log_placed(
     const accepted_call& call,
     const placement::placement_choice& choice,
-    admission::waiting_stage stage)
+    admission::wait_stage stage)
 {
     telemetry::log_event(
         telemetry::log_level::info,
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -9,7 +9,7 @@
 namespace godwit::entry {
 
 namespace asio = boost::asio;
-using admission::waiting_stage;
+using admission::wait_stage;
 
 namespace {
 
@@ -31,7 +31,7 @@
 room_search::room_search(
     entry_context& context, std::shared_ptr<const accepted_call> call)
     : context_(context), call_(std::move(call)),
-      plan_(admission::waiting_plan::create(
+      plan_(admission::wait_policy::create(
           {call_->arrived,
            call_->ends,
            call_->via.latency_objective,
@@ -66,13 +66,13 @@
 
 asio::awaitable<std::optional<placement::placement_choice>> room_search::place()
 {
-    auto choice = co_await place_in_stage(waiting_stage::timely);
+    auto choice = co_await place_in_stage(wait_stage::timely);
     if (!choice && !is_stopped_)
-        choice = co_await place_in_stage(waiting_stage::late);
+        choice = co_await place_in_stage(wait_stage::late);
     co_return choice;
 }
 
-placement::placement_request room_search::wanted(waiting_stage stage) const
+placement::placement_request room_search::wanted(wait_stage stage) const
 {
     placement::placement_request wanted =
         admission::room_request(call_->target, size_, plan_, stage);
@@ -82,7 +82,7 @@
 }
 
 asio::awaitable<std::optional<placement::placement_choice>>
-room_search::place_in_stage(waiting_stage stage)
+room_search::place_in_stage(wait_stage stage)
 {
     const core::time_point end = plan_.stage_end(stage);
     std::optional<waiting_line::place> waiting;
@@ -91,7 +91,7 @@
     while (!is_stopped_) {
         const core::time_point now = core::monotonic_now();
         if (is_my_turn && now >= next_look) {
-            next_look = plan_.next_look(stage, now);
+            next_look = plan_.next_attempt(stage, now);
             auto found = context_.chooser.choose(wanted(stage), now);
             if (found) {
                 log_placed(*call_, *found, stage);
@@ -118,7 +118,7 @@
 asio::awaitable<std::optional<found_room>>
 room_search::keep_room(placement::placement_choice choice)
 {
-    const placement::work_size work = wanted(waiting_stage::timely).work;
+    const placement::work_size work = wanted(wait_stage::timely).work;
     found_room room{
         choice.server,
         std::make_unique<reservation>(context_, choice.server.id, work),
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -359,7 +359,7 @@
         *call_,
         metrics_,
         reason,
-        search_.plan().come_back_after(core::monotonic_now()));
+        search_.plan().retry_after(core::monotonic_now()));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -136,7 +136,7 @@
         const core::time_point now = core::monotonic_now();
         const auto found = context_.chooser.choose(wanted, now);
         if (found) {
-            log_placed(call_, *found, admission::waiting_stage::timely);
+            log_placed(call_, *found, admission::wait_stage::timely);
             co_return found->server;
         }
         if (found.error() == placement::placement_obstacle::limited) {
--- a/tests/admission/decisions_test.cpp
+++ b/tests/admission/decisions_test.cpp
@@ -1,5 +1,5 @@
 #include <godwit/admission/generation_size.hpp>
-#include <godwit/admission/waiting_plan.hpp>
+#include <godwit/admission/wait_policy.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -32,7 +32,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     // 1.8 s to the first event, 39 s in all.
-    const waiting_plan long_{waiting_plan::create(
+    const wait_policy long_{wait_policy::create(
         {at_ms(1000), at_ms(40000), std::chrono::milliseconds(1800), 2})};
 
     void test_room_is_planned_beyond_the_guess()
@@ -88,56 +88,51 @@
     void test_what_is_late_waits_behind_what_can_be_in_time()
     {
         // 65 of 100 of the objective, which leaves the rest for reading.
-        CPPUNIT_ASSERT(long_.stage(at_ms(2169)) == waiting_stage::timely);
-        CPPUNIT_ASSERT(long_.stage(at_ms(2170)) == waiting_stage::late);
-        CPPUNIT_ASSERT_EQUAL(2, long_.rank(waiting_stage::timely));
-        const auto least_urgent = waiting_plan::create(
+        CPPUNIT_ASSERT(long_.stage(at_ms(2169)) == wait_stage::timely);
+        CPPUNIT_ASSERT(long_.stage(at_ms(2170)) == wait_stage::late);
+        CPPUNIT_ASSERT_EQUAL(2, long_.rank(wait_stage::timely));
+        const auto least_urgent = wait_policy::create(
             {at_ms(0), at_ms(40000), std::chrono::milliseconds(1800), 9});
         CPPUNIT_ASSERT(
-            long_.rank(waiting_stage::late) >
-            least_urgent.rank(waiting_stage::timely));
+            long_.rank(wait_stage::late) >
+            least_urgent.rank(wait_stage::timely));
         CPPUNIT_ASSERT(
-            long_.rank(waiting_stage::late) <
-            least_urgent.rank(waiting_stage::late));
+            long_.rank(wait_stage::late) < least_urgent.rank(wait_stage::late));
     }
 
     void test_late_requests_look_seldom()
     {
         CPPUNIT_ASSERT(
-            long_.next_look(waiting_stage::timely, at_ms(1500)) == at_ms(1500));
+            long_.next_attempt(wait_stage::timely, at_ms(1500)) == at_ms(1500));
         CPPUNIT_ASSERT(
-            long_.next_look(waiting_stage::late, at_ms(2500)) == at_ms(2900));
+            long_.next_attempt(wait_stage::late, at_ms(2500)) == at_ms(2900));
     }
 
     void test_a_short_deadline_ends_the_waiting()
     {
-        CPPUNIT_ASSERT(long_.stage(at_ms(6759)) == waiting_stage::late);
-        CPPUNIT_ASSERT(long_.stage(at_ms(6760)) == waiting_stage::over);
+        CPPUNIT_ASSERT(long_.stage(at_ms(6759)) == wait_stage::late);
+        CPPUNIT_ASSERT(long_.stage(at_ms(6760)) == wait_stage::over);
         // Of 6 s, what is left after 55 of 100 is for the answer.
-        const auto brief = waiting_plan::create(
+        const auto brief = wait_policy::create(
             {at_ms(0), at_ms(6000), std::chrono::milliseconds(1500), 0});
-        CPPUNIT_ASSERT(brief.stage(at_ms(3299)) == waiting_stage::late);
-        CPPUNIT_ASSERT(brief.stage(at_ms(3300)) == waiting_stage::over);
+        CPPUNIT_ASSERT(brief.stage(at_ms(3299)) == wait_stage::late);
+        CPPUNIT_ASSERT(brief.stage(at_ms(3300)) == wait_stage::over);
     }
 
     void test_unread_prompts_are_bounded_by_the_objective()
     {
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{7560},
-            long_.most_unread_tokens(waiting_stage::timely));
+            std::uint64_t{7560}, long_.most_unread_tokens(wait_stage::timely));
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{12600},
-            long_.most_unread_tokens(waiting_stage::late));
+            std::uint64_t{12600}, long_.most_unread_tokens(wait_stage::late));
     }
 
     void test_callers_come_back_after_the_shortage()
     {
         CPPUNIT_ASSERT(
-            long_.come_back_after(at_ms(1100)) ==
-            std::chrono::milliseconds(700));
+            long_.retry_after(at_ms(1100)) == std::chrono::milliseconds(700));
         CPPUNIT_ASSERT(
-            long_.come_back_after(at_ms(6760)) ==
-            std::chrono::milliseconds(5760));
+            long_.retry_after(at_ms(6760)) == std::chrono::milliseconds(5760));
     }
 };
 
