--- a/libraries/admission/include/godwit/admission/generation_size.hpp
+++ b/libraries/admission/include/godwit/admission/generation_size.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <godwit/admission/generation_terms.hpp>
+#include <godwit/admission/generation_parameters.hpp>
 #include <godwit/placement/work_size.hpp>
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 {
 public:
     [[nodiscard]] static generation_size create(
-        const generation_terms& terms, std::uint64_t written_tokens) noexcept;
+        const generation_parameters& terms,
+        std::uint64_t written_tokens) noexcept;
 
     /// Output that room is planned for: the caller's guess with a margin.
     [[nodiscard]] std::uint64_t expected_output_tokens() const noexcept;
@@ -28,18 +29,19 @@
     [[nodiscard]] placement::work_size work() const noexcept;
 
     /// Its load at a server to which its memory moves.
-    [[nodiscard]] placement::work_size moved_work() const noexcept;
+    [[nodiscard]] placement::work_size migrated_work() const noexcept;
 
     friend bool
     operator==(const generation_size&, const generation_size&) = default;
 
 private:
     generation_size(
-        const generation_terms& terms, std::uint64_t written_tokens) noexcept
+        const generation_parameters& terms,
+        std::uint64_t written_tokens) noexcept
         : terms_(terms), written_tokens_(written_tokens)
     {}
 
-    generation_terms terms_;
+    generation_parameters terms_;
     std::uint64_t written_tokens_;
 };
 
--- a/libraries/admission/src/generation_size.cpp
+++ b/libraries/admission/src/generation_size.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 generation_size generation_size::create(
-    const generation_terms& terms, std::uint64_t written_tokens) noexcept
+    const generation_parameters& terms, std::uint64_t written_tokens) noexcept
 {
     return {terms, written_tokens};
 }
@@ -32,9 +32,9 @@
 {
     const double guessed = terms_.expected_output_tokens
                                ? guess_margin * *terms_.expected_output_tokens
-                               : usual_output_share * terms_.most_output_tokens;
+                               : usual_output_share * terms_.max_output_tokens;
     return std::min<std::uint64_t>(
-        static_cast<std::uint64_t>(guessed), terms_.most_output_tokens);
+        static_cast<std::uint64_t>(guessed), terms_.max_output_tokens);
 }
 
 std::uint64_t generation_size::tokens_left() const noexcept
@@ -50,13 +50,13 @@
 
 placement::work_size generation_size::work() const noexcept
 {
-    placement::work_size work = moved_work();
+    placement::work_size work = migrated_work();
     if (written_tokens_ == 0)
         work.unread_tokens = terms_.prompt_tokens;
     return work;
 }
 
-placement::work_size generation_size::moved_work() const noexcept
+placement::work_size generation_size::migrated_work() const noexcept
 {
     placement::work_size work;
     work.requests = 1;
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -55,7 +55,7 @@
     running_generation& running = found->second;
     running.rhythm.arrived(1, now);
     placement::work_size work =
-        size_of(running.order, written_tokens).moved_work();
+        size_of(running.order, written_tokens).migrated_work();
     work.gaps = running.rhythm.gaps();
     replace_work(running, work);
 }
--- a/services/entry/include/godwit/entry/call_terms.hpp
+++ b/services/entry/include/godwit/entry/call_terms.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <godwit/admission/generation_terms.hpp>
+#include <godwit/admission/generation_parameters.hpp>
 #include <godwit/core/time.hpp>
 
 #include <optional>
@@ -14,7 +14,7 @@
     std::string attempt_id; ///< Of this attempt alone; empty if absent.
     std::optional<core::duration> time_left; ///< Until the caller leaves.
     std::string key; ///< Proves the organisation; empty if absent.
-    std::optional<admission::generation_terms> generation;
+    std::optional<admission::generation_parameters> generation;
 
     friend bool operator==(const call_terms&, const call_terms&) = default;
 };
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -28,7 +28,7 @@
 {
     if (!call_->terms.generation || !call_->target.engine)
         return placement::work_size{.requests = 1};
-    return size().moved_work();
+    return size().migrated_work();
 }
 
 // A run that has not begun has no memory that could move.
--- a/tests/admission/decisions_test.cpp
+++ b/tests/admission/decisions_test.cpp
@@ -53,10 +53,10 @@
     {
         const auto begun = generation_size::create({3000, 4000, 1600}, 100);
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{3000 + 100 + 200}, begun.moved_work().tokens);
+            std::uint64_t{3000 + 100 + 200}, begun.migrated_work().tokens);
         const auto ending = generation_size::create({3000, 4000, 1600}, 1900);
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{3000 + 1900 + 100}, ending.moved_work().tokens);
+            std::uint64_t{3000 + 1900 + 100}, ending.migrated_work().tokens);
     }
 
     void test_a_run_that_outlasts_its_guess_still_grows()
@@ -65,7 +65,7 @@
             generation_size::create({3000, 4000, 400}, 2500);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, outlasting.tokens_left());
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{3000 + 2500 + 50}, outlasting.moved_work().tokens);
+            std::uint64_t{3000 + 2500 + 50}, outlasting.migrated_work().tokens);
     }
 
     void test_a_prompt_is_read_once()
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t{3000}, starting.work().unread_tokens);
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{0}, starting.moved_work().unread_tokens);
+            std::uint64_t{0}, starting.migrated_work().unread_tokens);
         const auto writing = generation_size::create({3000, 1000, 400}, 4);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, writing.work().unread_tokens);
     }
