--- a/libraries/admission/include/godwit/admission/room_request.hpp
+++ b/libraries/admission/include/godwit/admission/make_placement_request.hpp
@@ -11,7 +11,7 @@
 
 /// What a request that waits asks of the placer. `size` is absent where its
 /// caller says nothing of a generation.
-[[nodiscard]] placement::placement_request room_request(
+[[nodiscard]] placement::placement_request make_placement_request(
     const routing::service& service,
     const std::optional<generation_size>& size,
     const wait_policy& plan,
--- a/libraries/admission/src/room_request.cpp
+++ b/libraries/admission/src/make_placement_request.cpp
@@ -1,8 +1,8 @@
-#include <godwit/admission/room_request.hpp>
+#include <godwit/admission/make_placement_request.hpp>
 
 namespace godwit::admission {
 
-placement::placement_request room_request(
+placement::placement_request make_placement_request(
     const routing::service& service,
     const std::optional<generation_size>& size,
     const wait_policy& plan,
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -1,6 +1,6 @@
 #include "simulated_host.hpp"
 
-#include <godwit/admission/room_request.hpp>
+#include <godwit/admission/make_placement_request.hpp>
 
 #include <algorithm>
 
@@ -104,7 +104,7 @@
 {
     const auto stage = waiting.plan.stage(now);
     waiting.next_attempt = waiting.plan.next_attempt(stage, now);
-    placement::placement_request wanted = admission::room_request(
+    placement::placement_request wanted = admission::make_placement_request(
         service_, size_of(waiting.order, 0), waiting.plan, stage);
     wanted.near = zone_;
     const auto choice = placer_.choose(wanted, now);
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -1,6 +1,6 @@
 #include <godwit/entry/room_search.hpp>
 
-#include <godwit/admission/room_request.hpp>
+#include <godwit/admission/make_placement_request.hpp>
 #include <godwit/entry/call_log.hpp>
 #include <godwit/entry/server_hold.hpp>
 
@@ -75,7 +75,7 @@
 placement::placement_request room_search::wanted(wait_stage stage) const
 {
     placement::placement_request wanted =
-        admission::room_request(call_->target, size_, plan_, stage);
+        admission::make_placement_request(call_->target, size_, plan_, stage);
     wanted.near = context_.settings.zone;
     wanted.excluded = excluded_;
     return wanted;
