--- a/libraries/placement/include/godwit/placement/copy_turns.hpp
+++ b/libraries/placement/include/godwit/placement/copy_queue.hpp
@@ -14,28 +14,28 @@
 /// otherwise, for each token that has to be copied. A run that ends by itself
 /// during the notice, or has not begun, needs no copy.
 [[nodiscard]] double
-copy_urgency(std::uint64_t tokens_left, const work_size& memory) noexcept;
+copy_priority(std::uint64_t tokens_left, const work_size& memory) noexcept;
 
 /// Which of a host's generations is copied next from each server.
 ///
 /// Answers servers that leave with more runs than their link can copy within
 /// the notice: some nine runs of 3,500 tokens in 1.8 s. What is lost should be
 /// what would have ended by itself, or was worth least.
-class copy_turns
+class copy_queue
 {
 public:
     /// Copies of one host from one server at one time: each waits for the ones
     /// before it on the same link, and a run that has stopped for its last
     /// copy must not wait long.
-    static constexpr std::size_t copies_at_once = 1;
+    static constexpr std::size_t max_concurrent_copies = 1;
 
     using ticket = std::uint64_t;
 
     /// Stands in line; the most urgent goes first, then who came first.
-    [[nodiscard]] ticket ask(const server_id& server, double urgency);
+    [[nodiscard]] ticket enqueue(const server_id& server, double urgency);
 
     /// Whether the holder may copy now; it counts as copying from then on.
-    [[nodiscard]] bool may_begin(const server_id& server, ticket held);
+    [[nodiscard]] bool try_start(const server_id& server, ticket held);
 
     /// The copies are done, or not wanted any more.
     void end(const server_id& server, ticket held);
--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -8,7 +8,7 @@
 #include <godwit/entry/stream_register.hpp>
 #include <godwit/entry/waiting_line.hpp>
 #include <godwit/http/connection_pool.hpp>
-#include <godwit/placement/copy_turns.hpp>
+#include <godwit/placement/copy_queue.hpp>
 #include <godwit/placement/load_ledger.hpp>
 #include <godwit/placement/placer.hpp>
 #include <godwit/placement/server_directory.hpp>
@@ -70,7 +70,7 @@
     waiting_line line;
     stream_register streams;
     link_claims claims;
-    placement::copy_turns copies;
+    placement::copy_queue copies;
     /// Tells the neighbours something; set by the process.
     std::function<void(const wire::message&)> tell;
     /// Called on each crash recorded by this host after which the request is
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -113,7 +113,7 @@
     placement::work_size work_;
     double urgency_;
     migration_cause cause_;
-    placement::copy_turns::ticket turn_ = 0;
+    placement::copy_queue::ticket turn_ = 0;
     std::optional<placement::backend_server> destination_;
     std::optional<reservation> reserved_;
     std::vector<placement::server_id> refused_;
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -64,7 +64,7 @@
     std::uint64_t tokens_left,
     migration_cause cause)
     : context_(context), call_(std::move(call)), source_(std::move(source)),
-      work_(work), urgency_(placement::copy_urgency(tokens_left, work)),
+      work_(work), urgency_(placement::copy_priority(tokens_left, work)),
       cause_(cause), settled_signal_(context.executor),
       began_(core::monotonic_now())
 {
@@ -117,8 +117,8 @@
 asio::awaitable<void> migrator::take_turn()
 {
     const placement::server_id& source = source_->server().id;
-    turn_ = context_.copies.ask(source, urgency_);
-    while (!is_stopped_ && !context_.copies.may_begin(source, turn_))
+    turn_ = context_.copies.enqueue(source, urgency_);
+    while (!is_stopped_ && !context_.copies.try_start(source, turn_))
         co_await pause(context_.executor, turn_pause);
 }
 
