--- a/libraries/placement/include/godwit/placement/event_rhythm.hpp
+++ b/libraries/placement/include/godwit/placement/event_gap_tracker.hpp
@@ -13,21 +13,21 @@
 ///
 /// Answers engines that turn slow without going down: two late events show
 /// it, where a mean over seconds would show it when the streams have ended.
-class event_rhythm
+class event_gap_tracker
 {
 public:
     /// The weight of the newest gap. With two events an engine that writes
     /// 3.5 times slower stands out from one that reads a prompt meanwhile.
-    static constexpr double newest_weight = 0.4;
+    static constexpr double smoothing_factor = 0.4;
     /// A longer gap is no pace: the stream was pushed off or stood still.
-    static constexpr core::duration longest_gap = std::chrono::seconds(2);
+    static constexpr core::duration max_gap = std::chrono::seconds(2);
 
     /// So many events came together at this moment.
-    void arrived(std::uint64_t events, core::time_point now);
+    void record_events(std::uint64_t events, core::time_point now);
 
     /// The next gap says nothing of the server: the stream went on at
     /// another one, or its caller did not take what came.
-    void interrupted() { last_.reset(); }
+    void skip_next_gap() { last_.reset(); }
 
     /// What this stream adds to the sums; all zero before its first gap.
     [[nodiscard]] event_gaps gaps() const;
--- a/libraries/placement/include/godwit/placement/event_gaps.hpp
+++ b/libraries/placement/include/godwit/placement/event_gaps.hpp
@@ -24,6 +24,6 @@
 /// Whether the means are so far apart that a decision may differ, so that
 /// other hosts should hear of it at once.
 [[nodiscard]] bool
-differ_much(const event_gaps& told, const event_gaps& now) noexcept;
+differ_significantly(const event_gaps& told, const event_gaps& now) noexcept;
 
 } // namespace godwit::placement
--- a/libraries/placement/include/godwit/placement/server_health.hpp
+++ b/libraries/placement/include/godwit/placement/server_health.hpp
@@ -18,7 +18,7 @@
         std::chrono::milliseconds(500);
     static constexpr core::duration longest_pause = std::chrono::seconds(4);
     /// The weight of the newest answer in the share of failed ones.
-    static constexpr double newest_weight = 0.2;
+    static constexpr double smoothing_factor = 0.2;
 
     /// The server answered and did its work.
     void succeeded(const server_id& server);
--- a/libraries/placement/src/event_rhythm.cpp
+++ b/libraries/placement/src/event_gap_tracker.cpp
@@ -1,11 +1,12 @@
-#include <godwit/placement/event_rhythm.hpp>
+#include <godwit/placement/event_gap_tracker.hpp>
 
 #include <algorithm>
 #include <cmath>
 
 namespace godwit::placement {
 
-void event_rhythm::arrived(std::uint64_t events, core::time_point now)
+void event_gap_tracker::record_events(
+    std::uint64_t events, core::time_point now)
 {
     if (events == 0)
         return;
@@ -13,14 +14,15 @@
     last_ = now;
     if (!before)
         return;
-    const core::duration span = std::min(now - *before, longest_gap);
+    const core::duration span = std::min(now - *before, max_gap);
     const double gap_ms =
         std::chrono::duration<double, std::milli>(span).count() /
         static_cast<double>(events);
-    gap_ms_ = gap_ms_ ? *gap_ms_ + newest_weight * (gap_ms - *gap_ms_) : gap_ms;
+    gap_ms_ =
+        gap_ms_ ? *gap_ms_ + smoothing_factor * (gap_ms - *gap_ms_) : gap_ms;
 }
 
-event_gaps event_rhythm::gaps() const
+event_gaps event_gap_tracker::gaps() const
 {
     if (!gap_ms_)
         return {};
--- a/libraries/placement/src/event_gaps.cpp
+++ b/libraries/placement/src/event_gaps.cpp
@@ -33,7 +33,8 @@
     return *this;
 }
 
-bool differ_much(const event_gaps& told, const event_gaps& now) noexcept
+bool differ_significantly(
+    const event_gaps& told, const event_gaps& now) noexcept
 {
     const auto before = told.mean_ms();
     const auto after = now.mean_ms();
--- a/libraries/placement/src/server_health.cpp
+++ b/libraries/placement/src/server_health.cpp
@@ -12,7 +12,7 @@
     record& known = found->second;
     known.unreachable_in_a_row = 0;
     known.avoided_until = {};
-    known.failed_share *= 1.0 - newest_weight;
+    known.failed_share *= 1.0 - smoothing_factor;
 }
 
 void server_health::failed(const server_id& server)
@@ -20,7 +20,7 @@
     record& known = records_[server];
     known.unreachable_in_a_row = 0;
     known.failed_share =
-        known.failed_share * (1.0 - newest_weight) + newest_weight;
+        known.failed_share * (1.0 - smoothing_factor) + smoothing_factor;
 }
 
 void server_health::unreachable(const server_id& server, core::time_point now)
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -53,7 +53,7 @@
     if (found == running_.end())
         return;
     running_generation& running = found->second;
-    running.rhythm.arrived(1, now);
+    running.rhythm.record_events(1, now);
     placement::work_size work =
         size_of(running.order, written_tokens).migrated_work();
     work.gaps = running.rhythm.gaps();
--- a/libraries/replay/src/simulated_host.hpp
+++ b/libraries/replay/src/simulated_host.hpp
@@ -2,7 +2,7 @@
 
 #include <godwit/admission/generation_size.hpp>
 #include <godwit/admission/wait_policy.hpp>
-#include <godwit/placement/event_rhythm.hpp>
+#include <godwit/placement/event_gap_tracker.hpp>
 #include <godwit/placement/load_ledger.hpp>
 #include <godwit/placement/placer.hpp>
 #include <godwit/placement/server_directory.hpp>
@@ -90,7 +90,7 @@
         generation_order order;
         placement::server_id server;
         placement::work_size work;
-        placement::event_rhythm rhythm;
+        placement::event_gap_tracker rhythm;
     };
 
     [[nodiscard]] std::vector<std::pair<int, std::size_t>>
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -11,7 +11,7 @@
 #include <godwit/entry/room_search.hpp>
 #include <godwit/entry/running_stream.hpp>
 #include <godwit/entry/upstream.hpp>
-#include <godwit/placement/event_rhythm.hpp>
+#include <godwit/placement/event_gap_tracker.hpp>
 #include <godwit/placement/zone_rebalancing.hpp>
 #include <godwit/telemetry/request_metrics.hpp>
 
@@ -91,7 +91,7 @@
     event_splitter splitter_;
     std::uint64_t last_event_ = 0;
     stream_pace pace_;
-    placement::event_rhythm rhythm_;
+    placement::event_gap_tracker rhythm_;
     core::time_point sent_at_{};
     std::optional<core::time_point> last_relayed_;
     unsigned refusals_ = 0;
--- a/services/entry/src/cell_report.cpp
+++ b/services/entry/src/cell_report.cpp
@@ -18,7 +18,7 @@
     return told.requests != now.requests ||
            told.unread_tokens != now.unread_tokens ||
            told.arriving_tokens != now.arriving_tokens ||
-           placement::differ_much(told.gaps, now.gaps) ||
+           placement::differ_significantly(told.gaps, now.gaps) ||
            growth >= cell_report::told_growth;
 }
 
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -43,7 +43,7 @@
                    one.requests == other.requests &&
                    one.unread_tokens == other.unread_tokens &&
                    one.arriving_tokens == other.arriving_tokens &&
-                   !placement::differ_much(
+                   !placement::differ_significantly(
                        {one.paced_streams, one.gap_ms},
                        {other.paced_streams, other.gap_ms});
         });
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -298,7 +298,7 @@
         ++pace_.events;
         ready += event.bytes;
     }
-    rhythm_.arrived(pace_.events - events_before, core::monotonic_now());
+    rhythm_.record_events(pace_.events - events_before, core::monotonic_now());
     if (pace_.events > 0 && reserved_) {
         reserved_->prompt_is_read();
         reserved_->set_progress(moved_work().tokens, rhythm_.gaps());
@@ -317,7 +317,7 @@
     if (!written)
         active_->cancel();
     if (core::monotonic_now() - before > prompt_write)
-        rhythm_.interrupted();
+        rhythm_.skip_next_gap();
     co_return written.has_value();
 }
 
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -149,7 +149,7 @@
     leave_server();
     active_ = next;
     splitter_ = event_splitter();
-    rhythm_ = placement::event_rhythm();
+    rhythm_ = placement::event_gap_tracker();
     const std::string attempt_id = call_->terms.attempt_id;
     auto head =
         co_await next->begin(std::move(outgoing), attempt_id, call_->ends);
--- a/services/entry/src/work_words.cpp
+++ b/services/entry/src/work_words.cpp
@@ -1,6 +1,6 @@
 #include <godwit/entry/work_words.hpp>
 
-#include <godwit/placement/event_rhythm.hpp>
+#include <godwit/placement/event_gap_tracker.hpp>
 
 #include <chrono>
 #include <cstdint>
@@ -26,7 +26,7 @@
 {
     constexpr auto longest_ms = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(
-            placement::event_rhythm::longest_gap)
+            placement::event_gap_tracker::max_gap)
             .count());
     return told.paced_streams <= told.requests &&
            told.gap_ms <= told.paced_streams * longest_ms;
--- a/tests/placement/server_paces_test.cpp
+++ b/tests/placement/server_paces_test.cpp
@@ -1,6 +1,6 @@
 #include "samples.hpp"
 
-#include <godwit/placement/event_rhythm.hpp>
+#include <godwit/placement/event_gap_tracker.hpp>
 #include <godwit/placement/server_paces.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -160,55 +160,55 @@
         CPPUNIT_ASSERT(!doubted_since(4, 12'001));
     }
 
-    static event_rhythm steady(int events, int gap_ms)
+    static event_gap_tracker steady(int events, int gap_ms)
     {
-        event_rhythm rhythm;
+        event_gap_tracker rhythm;
         for (int each = 0; each < events; ++each)
-            rhythm.arrived(1, at_ms(each * gap_ms));
+            rhythm.record_events(1, at_ms(each * gap_ms));
         return rhythm;
     }
 
     void test_two_late_events_show_a_slow_server()
     {
-        event_rhythm rhythm = steady(10, 36);
+        event_gap_tracker rhythm = steady(10, 36);
         CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 36}));
         const int last = 9 * 36;
-        rhythm.arrived(1, at_ms(last + 126));
-        rhythm.arrived(1, at_ms(last + 2 * 126));
+        rhythm.record_events(1, at_ms(last + 126));
+        rhythm.record_events(1, at_ms(last + 2 * 126));
         CPPUNIT_ASSERT(rhythm.gaps().total_ms > 36 * server_paces::slow_from);
     }
 
     void test_a_gap_that_was_interrupted_does_not_count()
     {
-        event_rhythm rhythm = steady(10, 36);
-        rhythm.interrupted();
-        rhythm.arrived(1, at_ms(9 * 36 + 900));
+        event_gap_tracker rhythm = steady(10, 36);
+        rhythm.skip_next_gap();
+        rhythm.record_events(1, at_ms(9 * 36 + 900));
         CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 36}));
     }
 
     void test_a_stream_that_stood_still_is_bounded()
     {
-        event_rhythm rhythm = steady(1, 36);
+        event_gap_tracker rhythm = steady(1, 36);
         CPPUNIT_ASSERT(rhythm.gaps() == event_gaps());
-        rhythm.arrived(1, at_ms(60'000));
+        rhythm.record_events(1, at_ms(60'000));
         CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 2000}));
     }
 
     void test_events_that_came_together_share_their_gap()
     {
-        event_rhythm rhythm = steady(1, 36);
-        rhythm.arrived(0, at_ms(50));
-        rhythm.arrived(4, at_ms(144));
+        event_gap_tracker rhythm = steady(1, 36);
+        rhythm.record_events(0, at_ms(50));
+        rhythm.record_events(4, at_ms(144));
         CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 36}));
     }
 
     void test_only_means_far_apart_are_told_at_once()
     {
-        CPPUNIT_ASSERT(!differ_much({2, 80}, {3, 150}));
-        CPPUNIT_ASSERT(differ_much({2, 80}, {3, 240}));
-        CPPUNIT_ASSERT(differ_much({3, 240}, {2, 80}));
-        CPPUNIT_ASSERT(differ_much({}, {1, 40}));
-        CPPUNIT_ASSERT(!differ_much({}, {}));
+        CPPUNIT_ASSERT(!differ_significantly({2, 80}, {3, 150}));
+        CPPUNIT_ASSERT(differ_significantly({2, 80}, {3, 240}));
+        CPPUNIT_ASSERT(differ_significantly({3, 240}, {2, 80}));
+        CPPUNIT_ASSERT(differ_significantly({}, {1, 40}));
+        CPPUNIT_ASSERT(!differ_significantly({}, {}));
     }
 };
 
