--- a/libraries/placement/bench/main.cpp
+++ b/libraries/placement/bench/main.cpp
@@ -93,11 +93,12 @@
         return core::host_name("host-" + std::to_string(host));
     };
     for (std::size_t host = 0; host < neighbours; ++host)
-        ledger.neighbour_says(name_of(host), host_word(engines, random), now);
+        ledger.update_from_neighbour(
+            name_of(host), host_word(engines, random), now);
     for (std::size_t group = 0; group < groups; ++group)
-        ledger.group_says(
+        ledger.update_from_group(
             host_group("cell-" + std::to_string(group)),
-            word_extent::whole,
+            report_extent::full,
             group_word(engines, random),
             now);
     placer chooser(directory, ledger, health, paces, limits, 1);
@@ -110,7 +111,7 @@
             std::abort();
     });
     const double word = microseconds_each(measured_words, [&] {
-        ledger.neighbour_says(
+        ledger.update_from_neighbour(
             name_of(random.below(neighbours)), host_word(engines, random), now);
     });
     std::cout << "{\"engines\": " << engines << ", \"choice_us\": " << choice
--- a/libraries/placement/include/godwit/placement/load_ledger.hpp
+++ b/libraries/placement/include/godwit/placement/load_ledger.hpp
@@ -26,9 +26,9 @@
 using host_group = core::identifier<struct host_group_tag>;
 
 /// Whether a group told all of its work, or only what changed.
-enum class word_extent
+enum class report_extent
 {
-    whole,
+    full,
     changes,
 };
 
@@ -44,24 +44,24 @@
 public:
     /// A neighbour's word counts this long. Longer silence means that it is
     /// cut off or dead, and its requests end.
-    static constexpr core::duration word_lifetime = std::chrono::seconds(3);
+    static constexpr core::duration report_lifetime = std::chrono::seconds(3);
 
     void add(const server_id& server, const work_size& work);
     void remove(const server_id& server, const work_size& work);
 
     /// Replaces what `host` said before.
-    void neighbour_says(
+    void update_from_neighbour(
         const core::host_name& host,
         const std::vector<server_work>& word,
         core::time_point now);
 
     /// Forgets what other hosts than these said: groups tell of them now.
-    void keep_neighbours(const std::set<core::host_name>& hosts);
+    void retain_neighbours(const std::set<core::host_name>& hosts);
 
     /// The sums of a group of hosts, of which none is a neighbour.
-    void group_says(
+    void update_from_group(
         const host_group& group,
-        word_extent extent,
+        report_extent extent,
         const std::vector<server_work>& word,
         core::time_point now);
 
@@ -73,13 +73,14 @@
     [[nodiscard]] std::vector<server_work> own() const;
 
     /// Own and neighbours' work, of every server that has some.
-    [[nodiscard]] std::vector<server_work> nearby(core::time_point now) const;
+    [[nodiscard]] std::vector<server_work>
+    own_and_neighbours(core::time_point now) const;
 
     /// Whether there are groups of hosts of which only sums are known.
-    [[nodiscard]] bool hears_groups(core::time_point now) const;
+    [[nodiscard]] bool has_group_reports(core::time_point now) const;
 
     /// How many neighbours were heard lately.
-    [[nodiscard]] std::size_t neighbours_heard(core::time_point now) const;
+    [[nodiscard]] std::size_t active_neighbours(core::time_point now) const;
 
 private:
     struct told_work
--- a/libraries/placement/src/load_ledger.cpp
+++ b/libraries/placement/src/load_ledger.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-void load_ledger::neighbour_says(
+void load_ledger::update_from_neighbour(
     const core::host_name& host,
     const std::vector<server_work>& word,
     core::time_point now)
@@ -78,7 +78,7 @@
     count(kept);
 }
 
-void load_ledger::keep_neighbours(const std::set<core::host_name>& hosts)
+void load_ledger::retain_neighbours(const std::set<core::host_name>& hosts)
 {
     for (auto each = neighbours_.begin(); each != neighbours_.end();) {
         if (hosts.contains(each->first)) {
@@ -90,16 +90,16 @@
     }
 }
 
-void load_ledger::group_says(
+void load_ledger::update_from_group(
     const host_group& group,
-    word_extent extent,
+    report_extent extent,
     const std::vector<server_work>& word,
     core::time_point now)
 {
     told_work& kept = groups_[group];
     // Words come in order, and a link that lost some begins with a whole one:
     // changes after a silence complete what was told before it.
-    if (extent == word_extent::whole) {
+    if (extent == report_extent::full) {
         uncount(kept);
         kept.work.clear();
     }
@@ -120,7 +120,7 @@
 
 bool load_ledger::told_work::is_fresh(core::time_point now) const
 {
-    return now - heard_at <= word_lifetime;
+    return now - heard_at <= report_lifetime;
 }
 
 work_size load_ledger::at(const server_id& server, core::time_point now) const
@@ -134,7 +134,8 @@
     return sum;
 }
 
-std::vector<server_work> load_ledger::nearby(core::time_point now) const
+std::vector<server_work>
+load_ledger::own_and_neighbours(core::time_point now) const
 {
     std::map<server_id, work_size> sums = own_;
     for (const auto& [host, word] : neighbours_) {
@@ -150,14 +151,14 @@
     return all;
 }
 
-bool load_ledger::hears_groups(core::time_point now) const
+bool load_ledger::has_group_reports(core::time_point now) const
 {
     return std::any_of(groups_.begin(), groups_.end(), [now](const auto& each) {
         return each.second.is_fresh(now);
     });
 }
 
-std::size_t load_ledger::neighbours_heard(core::time_point now) const
+std::size_t load_ledger::active_neighbours(core::time_point now) const
 {
     return static_cast<std::size_t>(std::count_if(
         neighbours_.begin(), neighbours_.end(), [now](const auto& each) {
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -162,7 +162,7 @@
 {
     const auto joined = directory_.joined_at(server.id);
     const bool is_alone =
-        ledger_.neighbours_heard(now) == 0 && !ledger_.hears_groups(now);
+        ledger_.active_neighbours(now) == 0 && !ledger_.has_group_reports(now);
     if (!joined || is_alone)
         return false;
     const core::duration age = now - *joined;
--- a/libraries/replay/src/fleet_replay.cpp
+++ b/libraries/replay/src/fleet_replay.cpp
@@ -183,7 +183,7 @@
              words_.pop_front()) {
             for (std::size_t host = 0; host < hosts_.size(); ++host) {
                 if (host != words_.front().host)
-                    hosts_[host]->neighbour_says(
+                    hosts_[host]->update_from_neighbour(
                         host_name_of(words_.front().host),
                         words_.front().work,
                         now);
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -76,12 +76,12 @@
     running_.erase(found);
 }
 
-void simulated_host::neighbour_says(
+void simulated_host::update_from_neighbour(
     const core::host_name& host,
     const std::vector<placement::server_work>& word,
     core::time_point now)
 {
-    ledger_.neighbour_says(host, word, now);
+    ledger_.update_from_neighbour(host, word, now);
 }
 
 std::vector<std::pair<int, std::size_t>>
--- a/libraries/replay/src/simulated_host.hpp
+++ b/libraries/replay/src/simulated_host.hpp
@@ -58,7 +58,7 @@
 
     void ended(std::size_t generation);
 
-    void neighbour_says(
+    void update_from_neighbour(
         const core::host_name& host,
         const std::vector<placement::server_work>& word,
         core::time_point now);
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -153,12 +153,12 @@
     }
     const bool is_due = now - told_cell_at_ >= cell_report::pace;
     if (!is_due || neighbours_->cell().empty() ||
-        2 * context_.ledger.neighbours_heard(now) <
+        2 * context_.ledger.active_neighbours(now) <
             neighbours_->cell_mates().size())
         return;
     told_cell_at_ = now;
     const auto said = cell_report_.next(
-        neighbours_->cell(), context_.ledger.nearby(now), now);
+        neighbours_->cell(), context_.ledger.own_and_neighbours(now), now);
     if (said)
         neighbours_->broadcast(*said, audience::others);
 }
@@ -341,7 +341,7 @@
     // The greeting of a host of another cell: its cell's sums hold its work.
     if (!neighbours_->is_cell_mate(host))
         return;
-    context_.ledger.neighbour_says(host, work, core::monotonic_now());
+    context_.ledger.update_from_neighbour(host, work, core::monotonic_now());
 }
 
 void entry_process::hear_cell(
@@ -351,10 +351,10 @@
     const placement::host_group cell(said.cell);
     if (cell == neighbours_->cell())
         return;
-    context_.ledger.group_says(
+    context_.ledger.update_from_group(
         cell,
-        said.is_whole ? placement::word_extent::whole
-                      : placement::word_extent::changes,
+        said.is_whole ? placement::report_extent::full
+                      : placement::report_extent::changes,
         work,
         core::monotonic_now());
 }
--- a/tests/placement/load_ledger_test.cpp
+++ b/tests/placement/load_ledger_test.cpp
@@ -42,7 +42,7 @@
         for (const auto& [who, word] : words_) {
             const auto found = word.work.find(server);
             if (found != word.work.end() &&
-                now - word.heard_at <= load_ledger::word_lifetime)
+                now - word.heard_at <= load_ledger::report_lifetime)
                 sum += found->second;
         }
         return sum;
@@ -106,19 +106,19 @@
             const std::string name = "h-" + std::to_string(who);
             const auto word = some_word(random);
             if (who < 3) {
-                ledger.neighbour_says(core::host_name(name), word, now);
+                ledger.update_from_neighbour(core::host_name(name), word, now);
                 plain.says(name, true, word, now);
             } else {
                 const bool is_whole = random.below(3) == 0;
-                ledger.group_says(
+                ledger.update_from_group(
                     host_group(name),
-                    is_whole ? word_extent::whole : word_extent::changes,
+                    is_whole ? report_extent::full : report_extent::changes,
                     word,
                     now);
                 plain.says(name, is_whole, word, now);
             }
             if (random.below(50) == 0) {
-                ledger.keep_neighbours({core::host_name("h-1")});
+                ledger.retain_neighbours({core::host_name("h-1")});
                 plain.forget("h-0");
                 plain.forget("h-2");
             }
@@ -138,11 +138,14 @@
     {
         load_ledger ledger;
         const host_group west("west/0");
-        ledger.group_says(
-            west, word_extent::whole, {{server(1), {2, 6000}}}, at_ms(0));
+        ledger.update_from_group(
+            west, report_extent::full, {{server(1), {2, 6000}}}, at_ms(0));
         CPPUNIT_ASSERT(ledger.at(server(1), at_ms(3001)) == work_size());
-        ledger.group_says(
-            west, word_extent::changes, {{server(2), {1, 3000}}}, at_ms(3500));
+        ledger.update_from_group(
+            west,
+            report_extent::changes,
+            {{server(2), {1, 3000}}},
+            at_ms(3500));
         CPPUNIT_ASSERT(
             ledger.at(server(1), at_ms(3500)) == (work_size{2, 6000}));
         CPPUNIT_ASSERT(
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -103,7 +103,7 @@
     void test_neighbours_work_counts_until_it_is_old()
     {
         ledger_.add(server_id("i-2"), {1, 2000, 0});
-        ledger_.neighbour_says(
+        ledger_.update_from_neighbour(
             host_name("h"), {{server_id("i-1"), {2, 6000, 0}}}, at_ms(0));
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose(3000));
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose(3001));
@@ -205,9 +205,9 @@
     void test_sums_of_other_cells_count_until_they_are_old()
     {
         ledger_.add(server_id("i-2"), {1, 2000, 0});
-        ledger_.group_says(
+        ledger_.update_from_group(
             host_group("west/0"),
-            word_extent::whole,
+            report_extent::full,
             {{server_id("i-1"), {2, 6000, 0}}},
             at_ms(0));
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose(3000));
@@ -219,11 +219,11 @@
         const host_name mate("m");
         const host_name other("o");
         const std::vector<server_work> word{{server_id("i-1"), {1, 3000, 0}}};
-        ledger_.neighbour_says(mate, word, at_ms(0));
-        ledger_.neighbour_says(other, word, at_ms(0));
-        ledger_.keep_neighbours({mate});
-        ledger_.group_says(
-            host_group("west/1"), word_extent::whole, word, at_ms(0));
+        ledger_.update_from_neighbour(mate, word, at_ms(0));
+        ledger_.update_from_neighbour(other, word, at_ms(0));
+        ledger_.retain_neighbours({mate});
+        ledger_.update_from_group(
+            host_group("west/1"), report_extent::full, word, at_ms(0));
         const work_size sum = ledger_.at(server_id("i-1"), at_ms(0));
         CPPUNIT_ASSERT(sum == (work_size{2, 6000, 0}));
     }
@@ -231,15 +231,15 @@
     void test_changes_of_a_sum_leave_the_others()
     {
         const host_group west("west/0");
-        ledger_.group_says(
+        ledger_.update_from_group(
             west,
-            word_extent::whole,
+            report_extent::full,
             {{server_id("i-1"), {2, 6000, 0}},
              {server_id("i-2"), {1, 3000, 0}}},
             at_ms(0));
-        ledger_.group_says(
+        ledger_.update_from_group(
             west,
-            word_extent::changes,
+            report_extent::changes,
             {{server_id("i-2"), {3, 8000, 0}}},
             at_ms(2000));
         const work_size first = ledger_.at(server_id("i-1"), at_ms(4000));
@@ -247,9 +247,9 @@
         const work_size second = ledger_.at(server_id("i-2"), at_ms(4000));
         CPPUNIT_ASSERT(second == (work_size{3, 8000, 0}));
         // What is not named in a whole word has ended.
-        ledger_.group_says(
+        ledger_.update_from_group(
             west,
-            word_extent::whole,
+            report_extent::full,
             {{server_id("i-2"), {3, 8000, 0}}},
             at_ms(4000));
         CPPUNIT_ASSERT(
@@ -329,8 +329,8 @@
     void test_hosts_begin_with_a_joining_server_one_by_one()
     {
         join_the_third();
-        ledger_.group_says(
-            host_group("west/0"), word_extent::whole, {}, at_ms(2000));
+        ledger_.update_from_group(
+            host_group("west/0"), report_extent::full, {}, at_ms(2000));
         const int at_first = hosts_at_the_third(2060);
         CPPUNIT_ASSERT(at_first > 0);
         CPPUNIT_ASSERT(at_first < 15);
@@ -341,7 +341,7 @@
     void test_one_cell_begins_with_a_joining_server_one_by_one()
     {
         join_the_third();
-        ledger_.neighbour_says(host_name("h"), {}, at_ms(2000));
+        ledger_.update_from_neighbour(host_name("h"), {}, at_ms(2000));
         const int at_first = hosts_at_the_third(2060);
         CPPUNIT_ASSERT(at_first > 0);
         CPPUNIT_ASSERT(at_first < 15);
