--- a/libraries/placement/bench/main.cpp
+++ b/libraries/placement/bench/main.cpp
@@ -72,7 +72,7 @@
     server_directory directory;
     load_ledger ledger;
     server_health health;
-    server_paces paces;
+    slow_server_detector paces;
     const server_limits limits;
     routing::service service;
     service.name = core::service_name("lm");
--- a/libraries/placement/include/godwit/placement/placer.hpp
+++ b/libraries/placement/include/godwit/placement/placer.hpp
@@ -7,7 +7,7 @@
 #include <godwit/placement/server_directory.hpp>
 #include <godwit/placement/server_health.hpp>
 #include <godwit/placement/server_limits.hpp>
-#include <godwit/placement/server_paces.hpp>
+#include <godwit/placement/slow_server_detector.hpp>
 #include <godwit/placement/work_size.hpp>
 #include <godwit/routing/service.hpp>
 
@@ -72,7 +72,7 @@
         const server_directory& directory,
         const load_ledger& ledger,
         const server_health& health,
-        const server_paces& paces,
+        const slow_server_detector& paces,
         const server_limits& limits,
         std::uint64_t seed);
 
@@ -89,7 +89,7 @@
         const placement_request& wanted,
         const backend_server& server,
         const work_size& load,
-        const server_pace& pace) const;
+        const server_speed& pace) const;
     [[nodiscard]] bool is_joining(
         const placement_request& wanted,
         const backend_server& server,
@@ -97,18 +97,18 @@
     [[nodiscard]] bool is_tried_by_others(
         const backend_server& server,
         const work_size& load,
-        const server_pace& pace,
+        const server_speed& pace,
         core::time_point now) const;
     [[nodiscard]] double cost(
         const placement_request& wanted,
         const backend_server& server,
         const work_size& load,
-        const server_pace& pace) const;
+        const server_speed& pace) const;
 
     const server_directory& directory_;
     const load_ledger& ledger_;
     const server_health& health_;
-    const server_paces& paces_;
+    const slow_server_detector& paces_;
     const server_limits& limits_;
     std::uint64_t seed_;
     core::random random_;
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -85,7 +85,7 @@
     const server_directory& directory,
     const load_ledger& ledger,
     const server_health& health,
-    const server_paces& paces,
+    const slow_server_detector& paces,
     const server_limits& limits,
     std::uint64_t seed)
     : directory_(directory), ledger_(ledger), health_(health), paces_(paces),
@@ -123,7 +123,7 @@
     const placement_request& wanted,
     const backend_server& server,
     const work_size& load,
-    const server_pace& pace) const
+    const server_speed& pace) const
 {
     if (!wanted.service->engine)
         return true;
@@ -180,26 +180,27 @@
 bool placer::is_tried_by_others(
     const backend_server& server,
     const work_size& load,
-    const server_pace& pace,
+    const server_speed& pace,
     core::time_point now) const
 {
-    if (!pace.doubted_since)
+    if (!pace.probation_since)
         return false;
     core::random own(core::stable_hash(server.id.value(), seed_));
-    return load.requests > 0 || now - *pace.doubted_since <
-                                    std::chrono::duration_cast<core::duration>(
-                                        server_paces::doubt * own.unit());
+    return load.requests > 0 ||
+           now - *pace.probation_since <
+               std::chrono::duration_cast<core::duration>(
+                   slow_server_detector::probation * own.unit());
 }
 
 double placer::cost(
     const placement_request& wanted,
     const backend_server& server,
     const work_size& load,
-    const server_pace& pace) const
+    const server_speed& pace) const
 {
     double sum = failure_cost * health_.failed_share(server.id);
     sum += slowness_cost * (pace.slowness - 1.0);
-    if (pace.doubted_since)
+    if (pace.probation_since)
         sum += doubt_cost;
     const bool migrates = wanted.purpose == placement_purpose::migration;
     const bool is_far = server.zone != wanted.near;
@@ -236,7 +237,7 @@
                                        is_joining(wanted, *candidate, now)))
             continue;
         const work_size load = ledger_.at(candidate->id, now);
-        const server_pace pace = paces_.at(candidate->id, now);
+        const server_speed pace = paces_.at(candidate->id, now);
         if (is_tried_by_others(*candidate, load, pace, now))
             continue;
         if (!has_room(wanted, *candidate, load, pace))
--- a/libraries/placement/src/server_paces.cpp
+++ b/libraries/placement/src/slow_server_detector.cpp
@@ -1,4 +1,4 @@
-#include <godwit/placement/server_paces.hpp>
+#include <godwit/placement/slow_server_detector.hpp>
 
 #include <algorithm>
 
@@ -11,28 +11,29 @@
     std::vector<double> means;
     means.reserve(seen.size());
     for (const server_gaps& each : seen) {
-        if (const auto mean = each.writing_gap_ms())
+        if (const auto mean = each.decode_gap_ms())
             means.push_back(*mean);
     }
-    if (means.size() < server_paces::fewest_compared)
+    if (means.size() < slow_server_detector::min_compared_servers)
         return std::nullopt;
     const auto middle =
         means.begin() + static_cast<std::ptrdiff_t>(means.size() / 2);
     std::nth_element(means.begin(), middle, means.end());
-    return std::max(*middle, server_paces::least_gap_ms);
+    return std::max(*middle, slow_server_detector::min_gap_ms);
 }
 
 } // namespace
 
-std::optional<double> server_gaps::writing_gap_ms() const noexcept
+std::optional<double> server_gaps::decode_gap_ms() const noexcept
 {
     const auto mean = gaps.mean_ms();
     if (!mean)
         return std::nullopt;
-    return reads_prompts ? *mean / server_paces::reading_times : *mean;
+    return is_prefilling ? *mean / slow_server_detector::prefill_slowdown
+                         : *mean;
 }
 
-std::vector<server_gaps> seen_gaps(
+std::vector<server_gaps> observed_gaps(
     const server_directory& directory,
     const load_ledger& ledger,
     const core::service_name& service,
@@ -46,12 +47,13 @@
     return seen;
 }
 
-pace_changes server_paces::compare(
+speed_changes slow_server_detector::compare(
     const std::vector<server_gaps>& seen, core::time_point now)
 {
-    pace_changes changes;
+    speed_changes changes;
     std::erase_if(slow_, [&changes, now](const auto& each) {
-        const bool is_over = now - each.second.seen_at > memory + doubt;
+        const bool is_over =
+            now - each.second.seen_at > slow_retention + probation;
         if (is_over)
             changes.recovered.push_back(each.first);
         return is_over;
@@ -60,12 +62,12 @@
     if (!median)
         return changes;
     for (const server_gaps& each : seen) {
-        const auto mean = each.writing_gap_ms();
+        const auto mean = each.decode_gap_ms();
         if (!mean)
             continue;
         const double times = *mean / *median;
         const bool was_slow = slow_.contains(each.server);
-        if (times >= (was_slow ? quick_below : slow_from)) {
+        if (times >= (was_slow ? recovered_threshold : slow_threshold)) {
             slow_.insert_or_assign(each.server, slow_server{times, now});
             if (!was_slow)
                 changes.slower.push_back(each.server);
@@ -77,15 +79,15 @@
     return changes;
 }
 
-server_pace
-server_paces::at(const server_id& server, core::time_point now) const
+server_speed
+slow_server_detector::at(const server_id& server, core::time_point now) const
 {
     const auto found = slow_.find(server);
     if (found == slow_.end())
         return {};
-    if (now - found->second.seen_at <= memory)
+    if (now - found->second.seen_at <= slow_retention)
         return {found->second.times, std::nullopt};
-    return {1.0, found->second.seen_at + memory};
+    return {1.0, found->second.seen_at + slow_retention};
 }
 
 } // namespace godwit::placement
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -63,7 +63,7 @@
 void simulated_host::compare_paces(core::time_point now)
 {
     const auto seen =
-        placement::seen_gaps(directory_, ledger_, service_.name, now);
+        placement::observed_gaps(directory_, ledger_, service_.name, now);
     [[maybe_unused]] const auto changes = paces_.compare(seen, now);
 }
 
--- a/libraries/replay/src/simulated_host.hpp
+++ b/libraries/replay/src/simulated_host.hpp
@@ -8,7 +8,7 @@
 #include <godwit/placement/server_directory.hpp>
 #include <godwit/placement/server_health.hpp>
 #include <godwit/placement/server_limits.hpp>
-#include <godwit/placement/server_paces.hpp>
+#include <godwit/placement/slow_server_detector.hpp>
 #include <godwit/replay/generation_order.hpp>
 #include <godwit/routing/service.hpp>
 
@@ -107,7 +107,7 @@
     placement::server_directory directory_;
     placement::load_ledger ledger_;
     placement::server_health health_;
-    placement::server_paces paces_;
+    placement::slow_server_detector paces_;
     placement::server_limits limits_;
     placement::placer placer_;
     std::map<std::size_t, waiting_generation> waiting_;
--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -14,7 +14,7 @@
 #include <godwit/placement/server_directory.hpp>
 #include <godwit/placement/server_health.hpp>
 #include <godwit/placement/server_limits.hpp>
-#include <godwit/placement/server_paces.hpp>
+#include <godwit/placement/slow_server_detector.hpp>
 #include <godwit/routing/route_table.hpp>
 #include <godwit/telemetry/metrics.hpp>
 
@@ -59,7 +59,7 @@
     placement::server_directory directory;
     placement::load_ledger ledger;
     placement::server_health health;
-    placement::server_paces paces;
+    placement::slow_server_detector paces;
     placement::server_limits limits;
     /// Servers whose invalid limits were logged.
     std::set<placement::server_id> invalid_limits_from;
--- a/services/entry/src/entry_process_paces.cpp
+++ b/services/entry/src/entry_process_paces.cpp
@@ -33,10 +33,10 @@
 void entry_process::compare_paces_of(
     const routing::service& service, core::time_point now)
 {
-    const auto seen = placement::seen_gaps(
+    const auto seen = placement::observed_gaps(
         context_.directory, context_.ledger, service.name, now);
     const auto changes = context_.paces.compare(seen, now);
-    if (changes == placement::pace_changes())
+    if (changes == placement::speed_changes())
         return;
     telemetry::log_event(
         telemetry::log_level::info,
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -78,7 +78,7 @@
     server_directory directory_;
     load_ledger ledger_;
     server_health health_;
-    server_paces paces_;
+    slow_server_detector paces_;
     server_limits limits_;
     placer placer_{directory_, ledger_, health_, paces_, limits_, 1};
 
--- a/tests/placement/server_paces_test.cpp
+++ b/tests/placement/slow_server_detector_test.cpp
@@ -1,7 +1,7 @@
 #include "samples.hpp"
 
 #include <godwit/placement/event_gap_tracker.hpp>
-#include <godwit/placement/server_paces.hpp>
+#include <godwit/placement/slow_server_detector.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -22,9 +22,9 @@
         false};
 }
 
-class server_paces_test : public CppUnit::TestFixture
+class slow_server_detector_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(server_paces_test);
+    CPPUNIT_TEST_SUITE(slow_server_detector_test);
     CPPUNIT_TEST(test_a_server_that_writes_much_slower_is_slow);
     CPPUNIT_TEST(test_reading_prompts_makes_no_server_slow);
     CPPUNIT_TEST(test_a_slow_server_stays_slow_until_it_is_much_quicker);
@@ -40,7 +40,7 @@
     CPPUNIT_TEST(test_only_means_far_apart_are_told_at_once);
     CPPUNIT_TEST_SUITE_END();
 
-    server_paces paces_;
+    slow_server_detector paces_;
 
     double slowness(int server, int now_ms)
     {
@@ -48,12 +48,12 @@
     }
 
     std::optional<godwit::core::time_point>
-    doubted_since(int server, int now_ms)
+    probation_since(int server, int now_ms)
     {
-        return pace(server, now_ms).doubted_since;
+        return pace(server, now_ms).probation_since;
     }
 
-    server_pace pace(int server, int now_ms)
+    server_speed pace(int server, int now_ms)
     {
         return paces_.at(
             server_id("i-" + std::to_string(server)), at_ms(now_ms));
@@ -78,18 +78,18 @@
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(1, 0));
         // It is news once.
         CPPUNIT_ASSERT(
-            paces_.compare(with_last(140), at_ms(100)) == pace_changes());
+            paces_.compare(with_last(140), at_ms(100)) == speed_changes());
     }
 
     void test_reading_prompts_makes_no_server_slow()
     {
         auto seen = with_last(80);
-        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(0)) == pace_changes());
+        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(0)) == speed_changes());
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(4, 0));
         // As long as it reads, it is compared by what it would write.
         seen.back().gaps = {2, 2 * 120};
-        seen.back().reads_prompts = true;
-        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(100)) == pace_changes());
+        seen.back().is_prefilling = true;
+        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(100)) == speed_changes());
         seen.back().gaps = {2, 2 * 280};
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, paces_.compare(seen, at_ms(200)).slower.size());
@@ -102,7 +102,7 @@
         [[maybe_unused]] const auto before =
             paces_.compare(with_last(140), at_ms(0));
         CPPUNIT_ASSERT(
-            paces_.compare(with_last(64), at_ms(100)) == pace_changes());
+            paces_.compare(with_last(64), at_ms(100)) == speed_changes());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1.6, slowness(4, 100), 0.01);
     }
 
@@ -111,7 +111,7 @@
         std::vector<server_gaps> seen;
         for (int server = 1; server <= 8; ++server)
             seen.push_back(gaps_of(server, 3, 140));
-        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(0)) == pace_changes());
+        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(0)) == speed_changes());
     }
 
     void test_few_servers_are_not_compared()
@@ -119,7 +119,7 @@
         CPPUNIT_ASSERT(
             paces_.compare(
                 {gaps_of(1, 3, 40), gaps_of(2, 3, 40), gaps_of(4, 3, 400)},
-                at_ms(0)) == pace_changes());
+                at_ms(0)) == speed_changes());
     }
 
     void test_gaps_that_nobody_notices_make_no_server_slow()
@@ -130,7 +130,7 @@
                  gaps_of(2, 3, 5),
                  gaps_of(3, 3, 5),
                  gaps_of(4, 3, 30)},
-                at_ms(0)) == pace_changes());
+                at_ms(0)) == speed_changes());
     }
 
     void test_a_server_that_is_quick_again_is_so_at_once()
@@ -149,15 +149,15 @@
         [[maybe_unused]] const auto silent =
             paces_.compare(with_last(0, 0), at_ms(1900));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.5, slowness(4, 1900), 0.01);
-        CPPUNIT_ASSERT(!doubted_since(4, 2000));
+        CPPUNIT_ASSERT(!probation_since(4, 2000));
         CPPUNIT_ASSERT(
-            paces_.compare(with_last(0, 0), at_ms(2001)) == pace_changes());
+            paces_.compare(with_last(0, 0), at_ms(2001)) == speed_changes());
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(4, 2001));
-        CPPUNIT_ASSERT(doubted_since(4, 2001) == at_ms(2000));
-        CPPUNIT_ASSERT(!doubted_since(1, 2001));
+        CPPUNIT_ASSERT(probation_since(4, 2001) == at_ms(2000));
+        CPPUNIT_ASSERT(!probation_since(1, 2001));
         const auto changes = paces_.compare(with_last(0, 0), at_ms(12'001));
         CPPUNIT_ASSERT(changes.recovered == std::vector{server_id("i-4")});
-        CPPUNIT_ASSERT(!doubted_since(4, 12'001));
+        CPPUNIT_ASSERT(!probation_since(4, 12'001));
     }
 
     static event_gap_tracker steady(int events, int gap_ms)
@@ -175,7 +175,8 @@
         const int last = 9 * 36;
         rhythm.record_events(1, at_ms(last + 126));
         rhythm.record_events(1, at_ms(last + 2 * 126));
-        CPPUNIT_ASSERT(rhythm.gaps().total_ms > 36 * server_paces::slow_from);
+        CPPUNIT_ASSERT(
+            rhythm.gaps().total_ms > 36 * slow_server_detector::slow_threshold);
     }
 
     void test_a_gap_that_was_interrupted_does_not_count()
@@ -212,6 +213,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(server_paces_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(slow_server_detector_test);
 
 } // namespace
