--- a/libraries/placement/include/godwit/placement/server_directory.hpp
+++ b/libraries/placement/include/godwit/placement/server_directory.hpp
@@ -25,24 +25,26 @@
 enum class source_state
 {
     steady,
-    disturbed, ///< It was away a moment ago; entries may have lapsed.
+    recovering, ///< It was away a moment ago; entries may have lapsed.
 };
 
 /// The backend servers that this host believes in.
 ///
 /// An entry that vanishes means that its server leaves. Only after the
 /// source was away it may have lapsed instead: then the server stays for
-/// `lapse_grace`, in which a living server lists itself again.
+/// `expiry_grace`, in which a living server lists itself again.
 class server_directory
 {
 public:
     /// How long an entry that vanished with its source may stay away.
-    static constexpr core::duration lapse_grace = std::chrono::seconds(2);
+    static constexpr core::duration expiry_grace = std::chrono::seconds(2);
     /// A list that is read for the first time comes within this span.
-    static constexpr core::duration first_view = std::chrono::seconds(1);
+    static constexpr core::duration initial_view_window =
+        std::chrono::seconds(1);
     /// How long a server that left is remembered, for the requests that it
     /// still works on.
-    static constexpr core::duration memory = std::chrono::seconds(60);
+    static constexpr core::duration departed_retention =
+        std::chrono::seconds(60);
 
     /// The server is listed like this; a view that is older than what is
     /// known, or of an earlier life, changes nothing. An address that another
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -56,7 +56,7 @@
         servers_.emplace(server.id, entry{server, {}, {}, {}}).first->second;
     if (!first_listed_at_)
         first_listed_at_ = now;
-    if (now - *first_listed_at_ > first_view)
+    if (now - *first_listed_at_ > initial_view_window)
         added.joined_at = now;
     if (server.state == server_state::ready)
         return directory_change::appeared;
@@ -129,11 +129,11 @@
     std::vector<server_id> gone;
     for (auto at = servers_.begin(); at != servers_.end();) {
         entry& known = at->second;
-        if (known.lapsed_at && now - *known.lapsed_at >= lapse_grace) {
+        if (known.lapsed_at && now - *known.lapsed_at >= expiry_grace) {
             leave(known, now);
             gone.push_back(at->first);
         }
-        if (known.left_at && now - *known.left_at >= memory)
+        if (known.left_at && now - *known.left_at >= departed_retention)
             at = servers_.erase(at);
         else
             ++at;
--- a/services/entry/src/list_outage.cpp
+++ b/services/entry/src/list_outage.cpp
@@ -35,7 +35,7 @@
 {
     const bool is_steady = is_current_ && now >= disturbed_until_;
     return is_steady ? placement::source_state::steady
-                     : placement::source_state::disturbed;
+                     : placement::source_state::recovering;
 }
 
 } // namespace godwit::entry
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -125,13 +125,13 @@
     void test_a_store_outage_lets_entries_lapse()
     {
         list_outage outage;
-        CPPUNIT_ASSERT(outage.source(at_ms(0)) == source_state::disturbed);
+        CPPUNIT_ASSERT(outage.source(at_ms(0)) == source_state::recovering);
         outage.set_current(true, at_ms(0));
         CPPUNIT_ASSERT(outage.source(at_ms(0)) == source_state::steady);
         outage.set_current(false, at_ms(1000));
-        CPPUNIT_ASSERT(outage.source(at_ms(1000)) == source_state::disturbed);
+        CPPUNIT_ASSERT(outage.source(at_ms(1000)) == source_state::recovering);
         outage.set_current(true, at_ms(5000));
-        CPPUNIT_ASSERT(outage.source(at_ms(8999)) == source_state::disturbed);
+        CPPUNIT_ASSERT(outage.source(at_ms(8999)) == source_state::recovering);
         CPPUNIT_ASSERT(outage.source(at_ms(9000)) == source_state::steady);
     }
 
@@ -154,7 +154,7 @@
         outage.set_current(false, at_ms(1000));
         outage.neighbour_reads(at_ms(5500));
         outage.set_current(true, at_ms(6000));
-        CPPUNIT_ASSERT(outage.source(at_ms(6000)) == source_state::disturbed);
+        CPPUNIT_ASSERT(outage.source(at_ms(6000)) == source_state::recovering);
     }
 
     void test_small_fleets_have_one_link_a_pair()
--- a/tests/placement/server_directory_test.cpp
+++ b/tests/placement/server_directory_test.cpp
@@ -95,7 +95,7 @@
         directory_.listed(sample_server(1), at_ms(0));
         CPPUNIT_ASSERT(
             directory_.delisted(
-                server_id("i-1"), source_state::disturbed, at_ms(100)) ==
+                server_id("i-1"), source_state::recovering, at_ms(100)) ==
             directory_change::none);
         CPPUNIT_ASSERT(directory_.expire(at_ms(2099)).empty());
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
@@ -108,7 +108,7 @@
     {
         directory_.listed(sample_server(1, "east", 1), at_ms(0));
         directory_.delisted(
-            server_id("i-1"), source_state::disturbed, at_ms(100));
+            server_id("i-1"), source_state::recovering, at_ms(100));
         directory_.listed(sample_server(1, "east", 2), at_ms(1500));
         CPPUNIT_ASSERT(directory_.expire(at_ms(5000)).empty());
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
@@ -237,7 +237,7 @@
     {
         directory_.listed(of_life(1000, 50), at_ms(0));
         directory_.delisted(
-            server_id("i-1"), source_state::disturbed, at_ms(100));
+            server_id("i-1"), source_state::recovering, at_ms(100));
         directory_.listed(of_life(2000, 0), at_ms(1500));
         CPPUNIT_ASSERT(directory_.expire(at_ms(5000)).empty());
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
