--- a/libraries/placement/include/godwit/placement/backend_server.hpp
+++ b/libraries/placement/include/godwit/placement/backend_server.hpp
@@ -17,7 +17,7 @@
 enum class server_state
 {
     ready,
-    leaving, ///< Takes nothing new, and ends soon.
+    draining, ///< Takes nothing new, and ends soon.
 };
 
 /// A backend server as the list of servers shows it.
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -26,7 +26,7 @@
 directory_change server_directory::leave(entry& leaving, core::time_point now)
 {
     leaving.lapsed_at.reset();
-    leaving.server.state = server_state::leaving;
+    leaving.server.state = server_state::draining;
     if (leaving.left_at)
         return directory_change::none;
     leaving.left_at = now;
@@ -71,7 +71,7 @@
 {
     replace_at(server, now);
     known = entry{server, {}, {}, now};
-    if (server.state == server_state::leaving)
+    if (server.state == server_state::draining)
         known.left_at = now;
     return directory_change::restarted;
 }
@@ -92,7 +92,7 @@
         return directory_change::none;
     if (is_new_life(known.server, server))
         return begin_anew(known, server, now);
-    if (server.state == server_state::leaving) {
+    if (server.state == server_state::draining) {
         known.server = server;
         return leave(known, now);
     }
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -95,7 +95,7 @@
       readers_(context_.settings.host),
       reports_(context_, [this](const placement::backend_server& server) {
           placement::backend_server leaving = server;
-          leaving.state = placement::server_state::leaving;
+          leaving.state = placement::server_state::draining;
           server_listed(leaving, "report");
           neighbours_->broadcast(wire::server_sign{
               core::server_address(server.address.to_string()),
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -232,7 +232,7 @@
                               known.address.to_string() == said.address.value();
         if (!is_meant)
             continue;
-        known.state = placement::server_state::leaving;
+        known.state = placement::server_state::draining;
         server_listed(known, host.value());
     }
 }
@@ -252,7 +252,7 @@
                 *address,
                 one.zone,
                 one.slots,
-                is_leaving ? placement::server_state::leaving
+                is_leaving ? placement::server_state::draining
                            : placement::server_state::ready,
                 one.revision,
                 placement::server_start{one.started_at_ms}},
--- a/tests/placement/samples.hpp
+++ b/tests/placement/samples.hpp
@@ -25,7 +25,7 @@
 
 inline backend_server leaving(backend_server server)
 {
-    server.state = server_state::leaving;
+    server.state = server_state::draining;
     ++server.revision;
     return server;
 }
--- a/tests/placement/server_directory_test.cpp
+++ b/tests/placement/server_directory_test.cpp
@@ -67,7 +67,7 @@
     {
         directory_.listed(sample_server(1, "east", 7), at_ms(0));
         auto older = sample_server(1, "east", 6);
-        older.state = server_state::leaving;
+        older.state = server_state::draining;
         CPPUNIT_ASSERT(
             directory_.listed(older, at_ms(10)) == directory_change::none);
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -86,7 +86,7 @@
             R"({"service":"lm","address":"10.1.2.3:80","zone":"e",)"
             R"("version":"v1","slots":24,"state":"draining","sequence":4})");
         CPPUNIT_ASSERT(server.has_value());
-        CPPUNIT_ASSERT(server->state == placement::server_state::leaving);
+        CPPUNIT_ASSERT(server->state == placement::server_state::draining);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, server->revision);
     }
 
--- a/tests/platform_adapter/entries_test.cpp
+++ b/tests/platform_adapter/entries_test.cpp
@@ -182,7 +182,7 @@
     {
         CPPUNIT_ASSERT(
             read_with("state", "draining")->state ==
-            placement::server_state::leaving);
+            placement::server_state::draining);
         for (const char* state : {"", "Ready", "ready ", "gone", "starting"})
             CPPUNIT_ASSERT_MESSAGE(state, !read_with("state", state));
     }
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -223,7 +223,7 @@
             .zone = {}};
         made.state = record.says == listing::ready
                          ? placement::server_state::ready
-                         : placement::server_state::leaving;
+                         : placement::server_state::draining;
         made.revision = record.sequence;
         made.start = placement::server_start{1};
         return made;
