--- a/libraries/placement/include/godwit/placement/server_health.hpp
+++ b/libraries/placement/include/godwit/placement/server_health.hpp
@@ -14,23 +14,23 @@
 public:
     /// A server that could not be reached is avoided this long at first, and
     /// twice as long after each further failure.
-    static constexpr core::duration first_pause =
+    static constexpr core::duration initial_backoff =
         std::chrono::milliseconds(500);
-    static constexpr core::duration longest_pause = std::chrono::seconds(4);
+    static constexpr core::duration max_backoff = std::chrono::seconds(4);
     /// The weight of the newest answer in the share of failed ones.
     static constexpr double smoothing_factor = 0.2;
 
     /// The server answered and did its work.
-    void succeeded(const server_id& server);
+    void record_success(const server_id& server);
 
     /// The server answered that it failed.
-    void failed(const server_id& server);
+    void record_failure(const server_id& server);
 
     /// No connection, no answer, or a broken one.
-    void unreachable(const server_id& server, core::time_point now);
+    void record_unreachable(const server_id& server, core::time_point now);
 
     /// The server had no room; it is passed over for a moment.
-    void full(const server_id& server, core::time_point now);
+    void record_full(const server_id& server, core::time_point now);
 
     /// Whether requests should go elsewhere if they can.
     [[nodiscard]] bool
@@ -41,7 +41,7 @@
     is_full(const server_id& server, core::time_point now) const;
 
     /// The share of failed answers lately, 0 to 1.
-    [[nodiscard]] double failed_share(const server_id& server) const;
+    [[nodiscard]] double failure_rate(const server_id& server) const;
 
     /// Forgets the server.
     void forget(const server_id& server);
@@ -49,12 +49,13 @@
 private:
     /// How long a server that had no room is passed over. What comes free
     /// meanwhile goes to other hosts, each of which asks as seldom.
-    static constexpr core::duration full_pause = std::chrono::milliseconds(400);
+    static constexpr core::duration full_backoff =
+        std::chrono::milliseconds(400);
 
     struct record
     {
         unsigned unreachable_in_a_row = 0;
-        double failed_share = 0;
+        double failure_rate = 0;
         core::time_point avoided_until{};
         core::time_point full_until{};
     };
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -198,7 +198,7 @@
     const work_size& load,
     const server_speed& pace) const
 {
-    double sum = failure_cost * health_.failed_share(server.id);
+    double sum = failure_cost * health_.failure_rate(server.id);
     sum += slowness_cost * (pace.slowness - 1.0);
     if (pace.probation_since)
         sum += doubt_cost;
--- a/libraries/placement/src/server_health.cpp
+++ b/libraries/placement/src/server_health.cpp
@@ -4,7 +4,7 @@
 
 namespace godwit::placement {
 
-void server_health::succeeded(const server_id& server)
+void server_health::record_success(const server_id& server)
 {
     const auto found = records_.find(server);
     if (found == records_.end())
@@ -12,18 +12,19 @@
     record& known = found->second;
     known.unreachable_in_a_row = 0;
     known.avoided_until = {};
-    known.failed_share *= 1.0 - smoothing_factor;
+    known.failure_rate *= 1.0 - smoothing_factor;
 }
 
-void server_health::failed(const server_id& server)
+void server_health::record_failure(const server_id& server)
 {
     record& known = records_[server];
     known.unreachable_in_a_row = 0;
-    known.failed_share =
-        known.failed_share * (1.0 - smoothing_factor) + smoothing_factor;
+    known.failure_rate =
+        known.failure_rate * (1.0 - smoothing_factor) + smoothing_factor;
 }
 
-void server_health::unreachable(const server_id& server, core::time_point now)
+void server_health::record_unreachable(
+    const server_id& server, core::time_point now)
 {
     record& known = records_[server];
     constexpr unsigned most_doublings = 3;
@@ -32,13 +33,13 @@
     ++known.unreachable_in_a_row;
     known.avoided_until =
         now + std::min<core::duration>(
-                  first_pause * (1U << doublings), longest_pause);
+                  initial_backoff * (1U << doublings), max_backoff);
 }
 
-void server_health::full(const server_id& server, core::time_point now)
+void server_health::record_full(const server_id& server, core::time_point now)
 {
     record& known = records_[server];
-    known.full_until = now + full_pause;
+    known.full_until = now + full_backoff;
 }
 
 bool server_health::is_full(const server_id& server, core::time_point now) const
@@ -56,10 +57,10 @@
                std::max(found->second.avoided_until, found->second.full_until);
 }
 
-double server_health::failed_share(const server_id& server) const
+double server_health::failure_rate(const server_id& server) const
 {
     const auto found = records_.find(server);
-    return found == records_.end() ? 0.0 : found->second.failed_share;
+    return found == records_.end() ? 0.0 : found->second.failure_rate;
 }
 
 void server_health::forget(const server_id& server)
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -111,7 +111,7 @@
     if (!choice)
         return false;
     if (!send(generation, choice->server.id, wanted.work.tokens)) {
-        health_.full(choice->server.id, now);
+        health_.record_full(choice->server.id, now);
         return false;
     }
     ledger_.add(choice->server.id, wanted.work);
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -362,7 +362,7 @@
     for (const auto& id : context_.streams.silent_servers(silent_span, now)) {
         if (context_.health.is_avoided(id, now))
             continue;
-        context_.health.unreachable(id, now);
+        context_.health.record_unreachable(id, now);
         log_event(
             log_level::info, component, "server_silent", {{"server", id}});
     }
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -136,9 +136,9 @@
         co_return std::nullopt;
     }
     if (answer.verdict == hold_verdict::refused)
-        context_.health.full(choice.server.id, now);
+        context_.health.record_full(choice.server.id, now);
     if (answer.verdict == hold_verdict::unreachable) {
-        context_.health.unreachable(choice.server.id, now);
+        context_.health.record_unreachable(choice.server.id, now);
         exclude(choice.server.id);
     }
     // A server that does not understand the question gets the request.
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -165,13 +165,13 @@
     const answer_terms said = context_.words.read_answer(head.fields);
     if (said.is_not_run) {
         log_send_failed(*call_, server, "not_run", std::to_string(head.status));
-        context_.health.full(server.id, core::monotonic_now());
+        context_.health.record_full(server.id, core::monotonic_now());
         ++refusals_;
         not_run_at(server);
         co_return std::nullopt;
     }
     if (head.status >= first_failure) {
-        context_.health.failed(server.id);
+        context_.health.record_failure(server.id);
         co_await pass_on_failure(std::move(head));
         co_return std::nullopt;
     }
@@ -200,7 +200,7 @@
     log_send_failed(*call_, server, "no_head", why.cause.message());
     if (is_lost_run(why))
         record_lost_run(context_, *call_, server);
-    context_.health.unreachable(server.id, core::monotonic_now());
+    context_.health.record_unreachable(server.id, core::monotonic_now());
     not_run_at(server);
     if (why.fault == upstream_fault::unreachable)
         co_return;
@@ -258,7 +258,7 @@
         if (piece && splitter_.is_between_events()) {
             active_->finish();
             stop_migration();
-            context_.health.succeeded(active_->server().id);
+            context_.health.record_success(active_->server().id);
             record_completed_run(context_, *call_);
             metrics_.finished(core::outcome::completed, core::monotonic_now());
             log_stream_completed(*call_, active_->server(), pace_);
@@ -273,7 +273,7 @@
             co_return;
         if (!piece && is_lost_run(piece.error()))
             record_lost_run(context_, *call_, active_->server());
-        context_.health.unreachable(
+        context_.health.record_unreachable(
             active_->server().id, core::monotonic_now());
         cut(piece ? "incomplete event" : piece.error().cause.message());
         co_return;
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -198,7 +198,7 @@
         log_send_failed(call_, server, name_of(why.fault), why.cause.message());
         if (is_lost_run(why))
             record_lost_run(context_, call_, server);
-        context_.health.unreachable(server.id, now);
+        context_.health.record_unreachable(server.id, now);
         result.may_have_run = why.fault != upstream_fault::unreachable;
         result.refusal = refusal_reason::answer_lost;
         if (!result.may_have_run)
@@ -213,7 +213,7 @@
     result.may_have_run = !said.is_not_run;
     if (said.is_not_run) {
         ++refusals_;
-        context_.health.full(server.id, now);
+        context_.health.record_full(server.id, now);
         log_send_failed(call_, server, "not_run", std::to_string(head->status));
         result.refusal = refusal_reason::servers_refused;
         co_return result;
@@ -222,16 +222,16 @@
     const bool is_error = head->status >= first_server_error;
     if (!is_error && !said.is_signed) {
         // Bytes that the server does not vouch for are nobody's answer.
-        context_.health.failed(server.id);
+        context_.health.record_failure(server.id);
         log_send_failed(
             call_, server, "unsigned", std::to_string(head->status));
         result.refusal = refusal_reason::answer_spoiled;
         co_return result;
     }
     if (is_error)
-        context_.health.failed(server.id);
+        context_.health.record_failure(server.id);
     else
-        context_.health.succeeded(server.id);
+        context_.health.record_success(server.id);
     record_completed_run(context_, call_);
     result.is_failure = is_error;
     result.answer = http::response{
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -149,21 +149,21 @@
 
     void test_avoided_servers_come_last()
     {
-        health_.unreachable(server_id("i-1"), at_ms(0));
+        health_.record_unreachable(server_id("i-1"), at_ms(0));
         ledger_.add(server_id("i-2"), {2, 6000, 0});
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose(1));
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose(501));
-        health_.unreachable(server_id("i-2"), at_ms(501));
+        health_.record_unreachable(server_id("i-2"), at_ms(501));
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose(502));
     }
 
     void test_a_failing_server_gets_less()
     {
-        health_.failed(server_id("i-1"));
+        health_.record_failure(server_id("i-1"));
         ledger_.add(server_id("i-2"), {1, 2000, 0});
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose());
         for (int count = 0; count < 20; ++count)
-            health_.succeeded(server_id("i-1"));
+            health_.record_success(server_id("i-1"));
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose());
     }
 
@@ -298,10 +298,10 @@
 
     void test_an_engine_that_says_it_is_full_is_passed_over()
     {
-        health_.full(server_id("i-1"), at_ms(0));
+        health_.record_full(server_id("i-1"), at_ms(0));
         ledger_.add(server_id("i-2"), {1, 8000, 0});
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose(1));
-        health_.full(server_id("i-2"), at_ms(1));
+        health_.record_full(server_id("i-2"), at_ms(1));
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose(399));
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose(400));
     }
