--- a/libraries/admission/include/godwit/admission/wait_policy.hpp
+++ b/libraries/admission/include/godwit/admission/wait_policy.hpp
@@ -56,7 +56,7 @@
 
     /// Prompt tokens that an engine may have to read, with the request's own,
     /// for its first event to be in time.
-    [[nodiscard]] std::uint64_t most_unread_tokens(wait_stage stage) const;
+    [[nodiscard]] std::uint64_t max_unread_tokens(wait_stage stage) const;
 
     /// When the caller of a request that is turned away should come back.
     [[nodiscard]] core::duration retry_after(core::time_point now) const;
--- a/libraries/admission/src/make_placement_request.cpp
+++ b/libraries/admission/src/make_placement_request.cpp
@@ -17,7 +17,7 @@
         wanted.purpose = placement::placement_purpose::short_start;
     else if (stage == wait_stage::late)
         wanted.purpose = placement::placement_purpose::late_start;
-    wanted.most_unread_tokens = plan.most_unread_tokens(stage);
+    wanted.max_unread_tokens = plan.max_unread_tokens(stage);
     return wanted;
 }
 
--- a/libraries/admission/src/wait_policy.cpp
+++ b/libraries/admission/src/wait_policy.cpp
@@ -90,7 +90,7 @@
     return stage == wait_stage::timely ? now : now + late_look_span;
 }
 
-std::uint64_t wait_policy::most_unread_tokens(wait_stage stage) const
+std::uint64_t wait_policy::max_unread_tokens(wait_stage stage) const
 {
     const auto objective_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(terms_.objective);
--- a/libraries/placement/bench/main.cpp
+++ b/libraries/placement/bench/main.cpp
@@ -105,7 +105,7 @@
     placement_request wanted;
     wanted.service = &service;
     wanted.work = work_size{1, 3000, 3000, 0};
-    wanted.near = core::zone_name("zone");
+    wanted.preferred_zone = core::zone_name("zone");
     const double choice = microseconds_each(measured_choices, [&] {
         if (!chooser.choose(wanted, now))
             std::abort();
--- a/libraries/placement/include/godwit/placement/placer.hpp
+++ b/libraries/placement/include/godwit/placement/placer.hpp
@@ -37,16 +37,15 @@
     placement_purpose purpose = placement_purpose::start;
     /// Prompt tokens that a server may have to read, with those of the
     /// request; a server that reads nothing is always good for one.
-    std::uint64_t most_unread_tokens =
-        std::numeric_limits<std::uint64_t>::max();
-    core::zone_name near; ///< The zone that is cheapest to reach.
-    /// Servers of other zones than `near` are not wanted at all.
-    bool is_near_only = false;
+    std::uint64_t max_unread_tokens = std::numeric_limits<std::uint64_t>::max();
+    core::zone_name preferred_zone; ///< The zone that is cheapest to reach.
+    /// Servers of other zones than `preferred_zone` are not wanted at all.
+    bool requires_preferred_zone = false;
     std::vector<server_id> excluded;
 };
 
 /// Why a request has no server.
-enum class placement_obstacle
+enum class placement_failure
 {
     no_server, ///< None is listed, or every one is excluded.
     no_room,   ///< There are servers, but all of them are full.
@@ -78,7 +77,7 @@
 
     /// The best server for the request. Servers that are avoided are taken
     /// only when no other one is left.
-    [[nodiscard]] tl::expected<placement_choice, placement_obstacle>
+    [[nodiscard]] tl::expected<placement_choice, placement_failure>
     choose(const placement_request& wanted, core::time_point now);
 
 private:
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -112,7 +112,7 @@
 bool placer::is_candidate(
     const placement_request& wanted, const backend_server& server)
 {
-    if (wanted.is_near_only && server.zone != wanted.near)
+    if (wanted.requires_preferred_zone && server.zone != wanted.preferred_zone)
         return false;
     return std::find(
                wanted.excluded.begin(), wanted.excluded.end(), server.id) ==
@@ -140,7 +140,7 @@
     if (pace.slowness > 1.0 && wanted.work.unread_tokens > 0 &&
         (load.unread_tokens > 0 ||
          static_cast<double>(wanted.work.unread_tokens) * pace.slowness >
-             static_cast<double>(wanted.most_unread_tokens)))
+             static_cast<double>(wanted.max_unread_tokens)))
         return false;
     // A request that is larger than the share may have a server alone.
     if (load.requests == 0)
@@ -148,7 +148,7 @@
     const bool is_read_in_time =
         load.unread_tokens == 0 ||
         load.unread_tokens + wanted.work.unread_tokens <=
-            wanted.most_unread_tokens;
+            wanted.max_unread_tokens;
     return is_read_in_time && load.requests < server.slots &&
            load.tokens + wanted.work.tokens <= room;
 }
@@ -203,7 +203,7 @@
     if (pace.probation_since)
         sum += doubt_cost;
     const bool migrates = wanted.purpose == placement_purpose::migration;
-    const bool is_far = server.zone != wanted.near;
+    const bool is_far = server.zone != wanted.preferred_zone;
     if (is_far)
         sum += migrates ? other_zone_migration_cost : other_zone_cost;
     if (!wanted.service->engine)
@@ -220,7 +220,7 @@
     return sum;
 }
 
-tl::expected<placement_choice, placement_obstacle>
+tl::expected<placement_choice, placement_failure>
 placer::choose(const placement_request& wanted, core::time_point now)
 {
     std::optional<placement_choice> best;
@@ -263,9 +263,9 @@
     if (best)
         return *best;
     if (is_limited)
-        return tl::unexpected(placement_obstacle::limited);
+        return tl::unexpected(placement_failure::limited);
     return tl::unexpected(
-        any ? placement_obstacle::no_room : placement_obstacle::no_server);
+        any ? placement_failure::no_room : placement_failure::no_server);
 }
 
 } // namespace godwit::placement
--- a/libraries/placement/src/zone_rebalancing.cpp
+++ b/libraries/placement/src/zone_rebalancing.cpp
@@ -17,8 +17,8 @@
     request.service = &service;
     request.work = work;
     request.purpose = placement_purpose::rebalance;
-    request.near = zone_;
-    request.is_near_only = true;
+    request.preferred_zone = zone_;
+    request.requires_preferred_zone = true;
     return request;
 }
 
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -106,7 +106,7 @@
     waiting.next_attempt = waiting.plan.next_attempt(stage, now);
     placement::placement_request wanted = admission::make_placement_request(
         service_, size_of(waiting.order, 0), waiting.plan, stage);
-    wanted.near = zone_;
+    wanted.preferred_zone = zone_;
     const auto choice = placer_.choose(wanted, now);
     if (!choice)
         return false;
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -198,7 +198,7 @@
     wanted.work = work_;
     wanted.purpose = placement::placement_purpose::migration;
     // A copy takes twice as long to another zone.
-    wanted.near = source_->server().zone;
+    wanted.preferred_zone = source_->server().zone;
     return wanted;
 }
 
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -76,7 +76,7 @@
 {
     placement::placement_request wanted =
         admission::make_placement_request(call_->target, size_, plan_, stage);
-    wanted.near = context_.settings.zone;
+    wanted.preferred_zone = context_.settings.zone;
     wanted.excluded = excluded_;
     return wanted;
 }
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -127,7 +127,7 @@
     placement::placement_request wanted;
     wanted.service = &call_.target;
     wanted.work.requests = 1;
-    wanted.near = context_.settings.zone;
+    wanted.preferred_zone = context_.settings.zone;
     wanted.excluded = tried_;
     const auto longest = std::chrono::duration_cast<core::duration>(
         call_.via.latency_objective * longest_wait_share);
@@ -139,7 +139,7 @@
             log_placed(call_, *found, admission::wait_stage::timely);
             co_return found->server;
         }
-        if (found.error() == placement::placement_obstacle::limited) {
+        if (found.error() == placement::placement_failure::limited) {
             limit_wait_ = shortest_limit_wait(now);
             if (now + limit_wait_ >= end)
                 co_return std::nullopt;
--- a/tests/admission/decisions_test.cpp
+++ b/tests/admission/decisions_test.cpp
@@ -122,9 +122,9 @@
     void test_unread_prompts_are_bounded_by_the_objective()
     {
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{7560}, long_.most_unread_tokens(wait_stage::timely));
+            std::uint64_t{7560}, long_.max_unread_tokens(wait_stage::timely));
         CPPUNIT_ASSERT_EQUAL(
-            std::uint64_t{12600}, long_.most_unread_tokens(wait_stage::late));
+            std::uint64_t{12600}, long_.max_unread_tokens(wait_stage::late));
     }
 
     void test_callers_come_back_after_the_shortage()
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -67,7 +67,7 @@
         service_.engine = engine_profile{4, 10000, 1, 1, true, false};
         wanted_.service = &service_;
         wanted_.work = {1, 1000, 0};
-        wanted_.near = zone_name("east");
+        wanted_.preferred_zone = zone_name("east");
         directory_.listed(sample_server(1), at_ms(0));
         directory_.listed(sample_server(2), at_ms(0));
     }
@@ -87,8 +87,8 @@
         const auto chosen = placer_.choose(wanted_, at_ms(now_ms));
         if (chosen)
             return chosen->server.id.value();
-        return chosen.error() == placement_obstacle::no_room ? "no room"
-                                                             : "no server";
+        return chosen.error() == placement_failure::no_room ? "no room"
+                                                            : "no server";
     }
 
     void test_the_emptier_server_is_chosen()
@@ -284,7 +284,7 @@
     void test_prompts_do_not_wait_where_many_are_read()
     {
         wanted_.work = {1, 1000, 1000};
-        wanted_.most_unread_tokens = 2500;
+        wanted_.max_unread_tokens = 2500;
         ledger_.add(server_id("i-1"), {1, 2000, 2000});
         ledger_.add(server_id("i-2"), {1, 2000, 2000});
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose());
@@ -482,7 +482,7 @@
         leave_the_first_alone();
         slow_down_the_first(0);
         wanted_.work = {1, 1000, 1000};
-        wanted_.most_unread_tokens = 4000;
+        wanted_.max_unread_tokens = 4000;
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose());
         ledger_.add(server_id("i-1"), {1, 500, 500});
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose());
@@ -493,9 +493,9 @@
         leave_the_first_alone();
         slow_down_the_first(0);
         wanted_.work = {1, 1000, 1000};
-        wanted_.most_unread_tokens = 3000;
+        wanted_.max_unread_tokens = 3000;
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose());
-        wanted_.most_unread_tokens = 2999;
+        wanted_.max_unread_tokens = 2999;
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose());
     }
 
