--- a/libraries/placement/include/godwit/placement/zone_rebalancing.hpp
+++ b/libraries/placement/include/godwit/placement/zone_rebalancer.hpp
@@ -30,29 +30,31 @@
 /// cut lasts if host and engine are on different sides of it, and callers
 /// leave after some seconds. When load is high, one start in five finds no
 /// room in its own zone; while it runs, room comes free there.
-class zone_rebalancing
+class zone_rebalancer
 {
 public:
     /// How long a run is left where it is after a look that found no room. A
     /// run lives for some eight seconds.
-    static constexpr core::duration look_span = std::chrono::milliseconds(200);
+    static constexpr core::duration attempt_interval =
+        std::chrono::milliseconds(200);
     /// A run with less left ends by itself about as soon as its copy is done.
-    static constexpr std::uint64_t least_tokens_left = 64;
+    static constexpr std::uint64_t min_tokens_left = 64;
 
     /// After a server was seen to leave its runs need the links: a run that
     /// is rebalanced would hold up one that is lost otherwise. By then the
     /// first copies are done, and a link to which something is on its way is
     /// left alone anyhow.
-    static constexpr core::duration quiet_span = std::chrono::seconds(1);
+    static constexpr core::duration departure_cooldown =
+        std::chrono::seconds(1);
 
-    explicit zone_rebalancing(core::zone_name zone) : zone_(std::move(zone)) {}
+    explicit zone_rebalancer(core::zone_name zone) : zone_(std::move(zone)) {}
 
     /// Whether a look may be due at all: asked for each event of a stream, so
     /// it takes no look at the list of servers.
     [[nodiscard]] bool
-    may_look(const core::zone_name& server_zone, core::time_point now) const
+    may_attempt(const core::zone_name& server_zone, core::time_point now) const
     {
-        return server_zone != zone_ && now >= next_look_;
+        return server_zone != zone_ && now >= next_attempt_;
     }
 
     /// Whether it is worth looking for room in the own zone now.
@@ -60,15 +62,18 @@
     is_due(const remote_run& run, core::time_point now) const;
 
     /// A look was taken, or a move failed.
-    void looked(core::time_point now) { next_look_ = now + look_span; }
+    void record_attempt(core::time_point now)
+    {
+        next_attempt_ = now + attempt_interval;
+    }
 
     /// What is wanted of a server in the own zone.
     [[nodiscard]] placement_request
-    wanted(const routing::service& service, const work_size& work) const;
+    make_request(const routing::service& service, const work_size& work) const;
 
 private:
     core::zone_name zone_;
-    core::time_point next_look_{};
+    core::time_point next_attempt_{};
 };
 
 } // namespace godwit::placement
--- a/libraries/placement/src/zone_rebalancing.cpp
+++ b/libraries/placement/src/zone_rebalancer.cpp
@@ -1,16 +1,16 @@
-#include <godwit/placement/zone_rebalancing.hpp>
+#include <godwit/placement/zone_rebalancer.hpp>
 
 namespace godwit::placement {
 
-bool zone_rebalancing::is_due(const remote_run& run, core::time_point now) const
+bool zone_rebalancer::is_due(const remote_run& run, core::time_point now) const
 {
-    if (run.last_departure && now < *run.last_departure + quiet_span)
+    if (run.last_departure && now < *run.last_departure + departure_cooldown)
         return false;
-    return may_look(run.server.zone, now) &&
-           run.tokens_left >= least_tokens_left;
+    return may_attempt(run.server.zone, now) &&
+           run.tokens_left >= min_tokens_left;
 }
 
-placement_request zone_rebalancing::wanted(
+placement_request zone_rebalancer::make_request(
     const routing::service& service, const work_size& work) const
 {
     placement_request request;
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -12,7 +12,7 @@
 #include <godwit/entry/running_stream.hpp>
 #include <godwit/entry/upstream.hpp>
 #include <godwit/placement/event_gap_tracker.hpp>
-#include <godwit/placement/zone_rebalancing.hpp>
+#include <godwit/placement/zone_rebalancer.hpp>
 #include <godwit/telemetry/request_metrics.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -87,7 +87,7 @@
     std::unique_ptr<reservation> reserved_;
     std::optional<std::string> hold_;
     std::shared_ptr<migrator> migration_;
-    placement::zone_rebalancing rebalancing_;
+    placement::zone_rebalancer rebalancing_;
     event_splitter splitter_;
     std::uint64_t last_event_ = 0;
     stream_pace pace_;
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -5,7 +5,7 @@
 #include <godwit/entry/pause.hpp>
 #include <godwit/entry/spawn.hpp>
 #include <godwit/http/fetch.hpp>
-#include <godwit/placement/zone_rebalancing.hpp>
+#include <godwit/placement/zone_rebalancer.hpp>
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -191,8 +191,8 @@
 placement::placement_request migrator::wanted() const
 {
     if (!has_to_leave())
-        return placement::zone_rebalancing(context_.settings.zone)
-            .wanted(call_->target, work_);
+        return placement::zone_rebalancer(context_.settings.zone)
+            .make_request(call_->target, work_);
     placement::placement_request wanted;
     wanted.service = &call_->target;
     wanted.work = work_;
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -104,7 +104,7 @@
     if (!call_->terms.generation || !call_->target.engine)
         return;
     const core::time_point now = core::monotonic_now();
-    if (!rebalancing_.may_look(active_->server().zone, now))
+    if (!rebalancing_.may_attempt(active_->server().zone, now))
         return;
     const placement::remote_run run{
         active_->server(),
@@ -113,9 +113,9 @@
         context_.directory.last_departure(call_->target.name)};
     if (!rebalancing_.is_due(run, now))
         return;
-    rebalancing_.looked(now);
+    rebalancing_.record_attempt(now);
     forget_failed_migration();
-    const auto wanted = rebalancing_.wanted(call_->target, run.work);
+    const auto wanted = rebalancing_.make_request(call_->target, run.work);
     if (context_.chooser.choose(wanted, now))
         migrate(migration_cause::rebalance);
 }
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -1,7 +1,7 @@
 #include "samples.hpp"
 
 #include <godwit/placement/placer.hpp>
-#include <godwit/placement/zone_rebalancing.hpp>
+#include <godwit/placement/zone_rebalancer.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -356,7 +356,7 @@
 
     const remote_run remote_{
         sample_server(7, "west"), {1, 3000, 0}, 500, std::nullopt};
-    zone_rebalancing rebalancing_{zone_name("east")};
+    zone_rebalancer rebalancing_{zone_name("east")};
 
     void test_a_run_comes_home_where_plenty_is_left()
     {
@@ -364,7 +364,7 @@
         ledger_.add(server_id("i-1"), {1, 4500, 0});
         ledger_.add(server_id("i-2"), {2, 4400, 0});
         CPPUNIT_ASSERT(rebalancing_.is_due(remote_, at_ms(0)));
-        wanted_ = rebalancing_.wanted(service_, remote_.work);
+        wanted_ = rebalancing_.make_request(service_, remote_.work);
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose());
     }
 
@@ -375,13 +375,13 @@
         // Starts would find room here, and an empty server in the west.
         ledger_.add(server_id("i-1"), {1, 4600, 0});
         ledger_.add(server_id("i-2"), {1, 4600, 0});
-        wanted_ = rebalancing_.wanted(service_, remote_.work);
+        wanted_ = rebalancing_.make_request(service_, remote_.work);
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose());
     }
 
     void test_a_run_looks_for_home_now_and_then()
     {
-        rebalancing_.looked(at_ms(1000));
+        rebalancing_.record_attempt(at_ms(1000));
         CPPUNIT_ASSERT(!rebalancing_.is_due(remote_, at_ms(1199)));
         CPPUNIT_ASSERT(rebalancing_.is_due(remote_, at_ms(1200)));
         remote_run at_home = remote_;
@@ -404,7 +404,7 @@
     {
         ledger_.add(server_id("i-1"), {1, 3000, 0, 3000});
         ledger_.add(server_id("i-2"), {1, 3000, 0, 3000});
-        wanted_ = rebalancing_.wanted(service_, remote_.work);
+        wanted_ = rebalancing_.make_request(service_, remote_.work);
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose());
         ledger_.remove(server_id("i-2"), {0, 0, 0, 3000});
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose());
