--- a/libraries/routing/include/godwit/routing/answer_form.hpp
+++ b/libraries/routing/include/godwit/routing/response_mode.hpp
@@ -3,9 +3,9 @@
 namespace godwit::routing {
 
 /// How the answers of a route come.
-enum class answer_form
+enum class response_mode
 {
-    whole,        ///< One body, delivered when it is complete.
+    buffered,     ///< One body, delivered when it is complete.
     event_stream, ///< Events with rising ids, delivered as they come.
 };
 
--- a/libraries/routing/include/godwit/routing/repeat_rule.hpp
+++ b/libraries/routing/include/godwit/routing/retry_semantics.hpp
@@ -3,7 +3,7 @@
 namespace godwit::routing {
 
 /// How often a backend server may run one request of a caller.
-enum class repeat_rule
+enum class retry_semantics
 {
     idempotent,   ///< More than once without harm.
     at_most_once, ///< A second run would be a second effect.
--- a/libraries/routing/include/godwit/routing/route.hpp
+++ b/libraries/routing/include/godwit/routing/route.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <godwit/core/time.hpp>
-#include <godwit/routing/answer_form.hpp>
-#include <godwit/routing/repeat_rule.hpp>
+#include <godwit/routing/response_mode.hpp>
+#include <godwit/routing/retry_semantics.hpp>
 #include <godwit/routing/weighted_service.hpp>
 
 #include <chrono>
@@ -18,14 +18,14 @@
     std::string name;
     std::string host;        ///< Without a port, in lower case.
     std::string path_prefix; ///< Begins and ends with a slash.
-    answer_form form = answer_form::whole;
-    repeat_rule repeats = repeat_rule::at_most_once;
+    response_mode mode = response_mode::buffered;
+    retry_semantics retries = retry_semantics::at_most_once;
     /// The longest time that a caller is kept waiting for the whole answer.
     core::duration timeout = std::chrono::seconds(30);
     /// Until the answer, or the first event of a stream.
     core::duration latency_objective = std::chrono::seconds(1);
     /// The longest pause between two events that counts as on time.
-    core::duration pause_objective = std::chrono::milliseconds(200);
+    core::duration gap_objective = std::chrono::milliseconds(200);
     unsigned max_attempts = 1; ///< Backend servers that may run a request.
     int priority = 0;          ///< 0 is the most urgent.
     bool is_public = false;    ///< Needs no key.
--- a/libraries/routing/include/godwit/routing/route_table_builder.hpp
+++ b/libraries/routing/include/godwit/routing/route_table_builder.hpp
@@ -17,9 +17,9 @@
 
     /// Checks and indexes up to `count` further entries; true once it has
     /// done all of them. Fails as `route_table::create` does.
-    [[nodiscard]] core::result<bool> index_on(std::size_t count);
+    [[nodiscard]] core::result<bool> index_next(std::size_t count);
 
-    /// The table, once `index_on` said that all is done.
+    /// The table, once `index_next` said that all is done.
     [[nodiscard]] std::shared_ptr<const route_table> finish();
 
 private:
--- a/libraries/routing/src/route_table.cpp
+++ b/libraries/routing/src/route_table.cpp
@@ -45,7 +45,7 @@
 {
     constexpr std::size_t all = std::numeric_limits<std::size_t>::max();
     route_table_builder builder(std::move(content));
-    [[maybe_unused]] const bool is_done = GODWIT_TRY(builder.index_on(all));
+    [[maybe_unused]] const bool is_done = GODWIT_TRY(builder.index_next(all));
     return builder.finish();
 }
 
--- a/libraries/routing/src/route_table_builder.cpp
+++ b/libraries/routing/src/route_table_builder.cpp
@@ -11,7 +11,7 @@
     table_->index_services();
 }
 
-core::result<bool> route_table_builder::index_on(std::size_t count)
+core::result<bool> route_table_builder::index_next(std::size_t count)
 {
     const route_table_content& content = table_->content();
     const std::size_t routes_end =
--- a/services/entry/src/call_service.cpp
+++ b/services/entry/src/call_service.cpp
@@ -94,7 +94,7 @@
         found->priority,
         arrived,
         arrived + span};
-    if (via.form == routing::answer_form::event_stream) {
+    if (via.mode == routing::response_mode::event_stream) {
         const auto stream =
             std::make_shared<stream_call>(context_, std::move(call));
         co_await stream->run();
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -327,7 +327,7 @@
     const bool is_first = !last_relayed_;
     const core::duration pause = now - last_relayed_.value_or(call_->arrived);
     const core::duration objective =
-        is_first ? call_->via.latency_objective : call_->via.pause_objective;
+        is_first ? call_->via.latency_objective : call_->via.gap_objective;
     if (is_first)
         pace_.first = pause;
     else
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -158,7 +158,7 @@
 core::time_point whole_call::attempt_end(core::time_point now)
 {
     const bool may_run_again =
-        call_.via.repeats == routing::repeat_rule::idempotent &&
+        call_.via.retries == routing::retry_semantics::idempotent &&
         runs_ + 1 < call_.via.max_attempts;
     if (!may_run_again)
         return call_.ends;
@@ -245,8 +245,9 @@
 {
     if (now >= call_.ends || refusals_ >= most_refusals)
         return false;
-    if (runs_ > 0 && (call_.via.repeats != routing::repeat_rule::idempotent ||
-                      runs_ >= call_.via.max_attempts))
+    if (runs_ > 0 &&
+        (call_.via.retries != routing::retry_semantics::idempotent ||
+         runs_ >= call_.via.max_attempts))
         return false;
     const bool was_handed_over = runs_ + refusals_ > 0;
     return !was_handed_over ||
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -51,12 +51,12 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, table->version());
         const auto* stream = table->find_route("a.example", "/x/1");
         CPPUNIT_ASSERT(stream != nullptr);
-        CPPUNIT_ASSERT(stream->form == routing::answer_form::event_stream);
-        CPPUNIT_ASSERT(stream->repeats == routing::repeat_rule::at_most_once);
+        CPPUNIT_ASSERT(stream->mode == routing::response_mode::event_stream);
         CPPUNIT_ASSERT(
-            stream->pause_objective == std::chrono::milliseconds(180));
+            stream->retries == routing::retry_semantics::at_most_once);
+        CPPUNIT_ASSERT(stream->gap_objective == std::chrono::milliseconds(180));
         const auto* plain = table->find_route("a.example", "/y/");
-        CPPUNIT_ASSERT(plain->repeats == routing::repeat_rule::idempotent);
+        CPPUNIT_ASSERT(plain->retries == routing::retry_semantics::idempotent);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, plain->services.size());
         const auto* lm = table->find_service(core::service_name("lm"));
         CPPUNIT_ASSERT(lm->engine && lm->engine->moves);
