--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -25,7 +25,7 @@
 bool can_hold(const accepted_call& call)
 {
     return call.target.engine &&
-           call.target.engine->longest_hold > core::duration();
+           call.target.engine->max_hold > core::duration();
 }
 
 room_search::room_search(
--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -30,7 +30,7 @@
     std::uint64_t tokens)
 {
     const hold_order order{
-        tokens, std::min(hold_span, call.target.engine->longest_hold)};
+        tokens, std::min(hold_span, call.target.engine->max_hold)};
     http::request outgoing = context.words.write_hold_order(order);
     const core::duration left = call.ends - core::monotonic_now();
     const http::fetch_limits limits{.deadline = std::min(answer_limit, left)};
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -91,7 +91,8 @@
 
 void stream_call::migrate(migration_cause cause)
 {
-    const bool can_move = call_->target.engine && call_->target.engine->moves;
+    const bool can_move =
+        call_->target.engine && call_->target.engine->can_migrate;
     if (!can_move || migration_ || caller_gone_)
         return;
     migration_ = std::make_shared<migrator>(
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -59,7 +59,7 @@
         CPPUNIT_ASSERT(plain->retries == routing::retry_semantics::idempotent);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, plain->services.size());
         const auto* lm = table->find_service(core::service_name("lm"));
-        CPPUNIT_ASSERT(lm->engine && lm->engine->moves);
+        CPPUNIT_ASSERT(lm->engine && lm->engine->can_migrate);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{34440}, lm->engine->memory_tokens);
         CPPUNIT_ASSERT_EQUAL(1, *table->find_organisation("k2")->priority);
     }
@@ -219,7 +219,7 @@
     {
         const auto table = read_table(table_text).value();
         const auto* lm = table->find_service(core::service_name("lm"));
-        CPPUNIT_ASSERT(lm->engine->longest_hold == std::chrono::seconds(2));
+        CPPUNIT_ASSERT(lm->engine->max_hold == std::chrono::seconds(2));
         const http::request order = request_codec::write_hold_order(
             {3200, std::chrono::milliseconds(1500)});
         CPPUNIT_ASSERT_EQUAL(std::string("/api/hold-take"), order.target);
