--- a/libraries/replay/include/godwit/replay/engine_shape.hpp
+++ b/libraries/replay/include/godwit/replay/engine_config.hpp
@@ -8,7 +8,7 @@
 namespace godwit::replay {
 
 /// What a simulated engine holds, and how fast it is.
-struct engine_shape
+struct engine_config
 {
     std::uint64_t memory_tokens = 34'000;
     std::uint32_t slots = 24;
@@ -18,18 +18,19 @@
     double read_tokens_per_ms = 14.0;
     std::uint32_t tokens_per_event = 4;
 
-    friend bool operator==(const engine_shape&, const engine_shape&) = default;
+    friend bool
+    operator==(const engine_config&, const engine_config&) = default;
 };
 
 /// A span in which an engine takes so many times as long for each step.
-struct slow_spell
+struct slowdown
 {
     std::size_t engine = 0;
     core::time_point begins{};
     core::time_point ends{};
     double times = 1.0;
 
-    friend bool operator==(const slow_spell&, const slow_spell&) = default;
+    friend bool operator==(const slowdown&, const slowdown&) = default;
 };
 
 } // namespace godwit::replay
--- a/libraries/replay/include/godwit/replay/fleet_shape.hpp
+++ b/libraries/replay/include/godwit/replay/fleet_config.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <godwit/core/time.hpp>
-#include <godwit/replay/engine_shape.hpp>
+#include <godwit/replay/engine_config.hpp>
 
 #include <chrono>
 #include <cstddef>
@@ -21,17 +21,17 @@
 };
 
 /// The hosts and engines of a replay.
-struct fleet_shape
+struct fleet_config
 {
     std::vector<std::size_t> host_zones; ///< One zone for each host.
     std::vector<joining_engine> engines;
-    engine_shape engine;
-    std::vector<slow_spell> slow_spells;
+    engine_config engine;
+    std::vector<slowdown> slowdowns;
     /// Until a host hears what another one sent to an engine.
-    core::duration word_delay = std::chrono::milliseconds(2);
+    core::duration report_delay = std::chrono::milliseconds(2);
     std::uint64_t seed = 1;
 
-    friend bool operator==(const fleet_shape&, const fleet_shape&) = default;
+    friend bool operator==(const fleet_config&, const fleet_config&) = default;
 };
 
 } // namespace godwit::replay
--- a/libraries/replay/include/godwit/replay/generation_fate.hpp
+++ b/libraries/replay/include/godwit/replay/generation_outcome.hpp
@@ -9,7 +9,7 @@
 namespace godwit::replay {
 
 /// What became of a generation.
-struct generation_fate
+struct generation_outcome
 {
     std::optional<core::time_point> placed;
     std::optional<std::size_t> engine; ///< Where it was placed.
@@ -20,7 +20,7 @@
     std::uint32_t preemptions = 0;
 
     friend bool
-    operator==(const generation_fate&, const generation_fate&) = default;
+    operator==(const generation_outcome&, const generation_outcome&) = default;
 };
 
 } // namespace godwit::replay
--- a/libraries/replay/include/godwit/replay/generation_order.hpp
+++ b/libraries/replay/include/godwit/replay/generation_request.hpp
@@ -8,7 +8,7 @@
 namespace godwit::replay {
 
 /// A generation that a caller asks for.
-struct generation_order
+struct generation_request
 {
     std::size_t host = 0; ///< The entry host that its caller reaches.
     core::time_point arrives;
@@ -20,7 +20,7 @@
     std::uint32_t expected_tokens = 0; ///< Its caller's guess.
 
     friend bool
-    operator==(const generation_order&, const generation_order&) = default;
+    operator==(const generation_request&, const generation_request&) = default;
 };
 
 } // namespace godwit::replay
--- a/libraries/replay/include/godwit/replay/simulated_engine.hpp
+++ b/libraries/replay/include/godwit/replay/simulated_engine.hpp
@@ -2,8 +2,8 @@
 
 #include <godwit/core/time.hpp>
 #include <godwit/placement/backend_server.hpp>
-#include <godwit/replay/engine_shape.hpp>
-#include <godwit/replay/generation_order.hpp>
+#include <godwit/replay/engine_config.hpp>
+#include <godwit/replay/generation_request.hpp>
 
 #include <cstddef>
 #include <cstdint>
@@ -35,14 +35,14 @@
 {
 public:
     [[nodiscard]] static simulated_engine
-    create(const engine_shape& shape, core::time_point now);
+    create(const engine_config& shape, core::time_point now);
 
     /// Whether it has a slot and memory for `tokens` now.
     [[nodiscard]] bool has_room(std::uint64_t tokens) const;
 
     void start(
         std::size_t generation,
-        const generation_order& order,
+        const generation_request& order,
         core::time_point now);
 
     /// Carries out the steps that end by `now`.
@@ -68,7 +68,7 @@
         }
     };
 
-    simulated_engine(const engine_shape& shape, core::time_point now)
+    simulated_engine(const engine_config& shape, core::time_point now)
         : shape_(shape), step_begins_(now)
     {}
 
@@ -79,7 +79,7 @@
     void take_back_preempted();
     void preempt_for_memory(std::vector<engine_event>& events);
 
-    engine_shape shape_;
+    engine_config shape_;
     std::vector<run> runs_;      ///< The oldest first.
     std::vector<run> preempted_; ///< They wait for memory.
     core::time_point step_begins_;
--- a/libraries/replay/src/fleet_replay.cpp
+++ b/libraries/replay/src/fleet_replay.cpp
@@ -58,7 +58,8 @@
 {
 public:
     running_replay(
-        const fleet_shape& fleet, const std::vector<generation_order>& orders)
+        const fleet_config& fleet,
+        const std::vector<generation_request>& orders)
         : fleet_(fleet), orders_(orders), fates_(orders.size()),
           progress_(orders.size())
     {
@@ -74,7 +75,7 @@
                 fleet.seed * fleet.host_zones.size() + host));
     }
 
-    std::vector<generation_fate> play(core::time_point end)
+    std::vector<generation_outcome> play(core::time_point end)
     {
         for (core::time_point now{}; now < end; now += step) {
             join_engines(now);
@@ -114,7 +115,7 @@
 
     void change_speeds(core::time_point now)
     {
-        for (const slow_spell& spell : fleet_.slow_spells) {
+        for (const slowdown& spell : fleet_.slowdowns) {
             if (spell.begins == now)
                 engines_[spell.engine].set_slowness(spell.times);
             if (spell.ends == now)
@@ -140,7 +141,7 @@
 
     void take(const engine_event& event)
     {
-        generation_fate& fate = fates_[event.generation];
+        generation_outcome& fate = fates_[event.generation];
         simulated_host& host = *hosts_[orders_[event.generation].host];
         switch (event.what) {
         case engine_event::kind::first_event:
@@ -167,7 +168,7 @@
     void note_event(const engine_event& event)
     {
         generation_progress& progress = progress_[event.generation];
-        generation_fate& fate = fates_[event.generation];
+        generation_outcome& fate = fates_[event.generation];
         if (progress.last_event)
             fate.longest_pause =
                 std::max(fate.longest_pause, event.at - *progress.last_event);
@@ -196,7 +197,7 @@
         for (; next_order_ < orders_.size() &&
                orders_[next_order_].arrives <= now;
              ++next_order_) {
-            const generation_order& order = orders_[next_order_];
+            const generation_request& order = orders_[next_order_];
             hosts_[order.host]->arrives(next_order_, order, now);
             is_anything_new_ = true;
         }
@@ -254,13 +255,13 @@
             std::unique(changed_.begin(), changed_.end()), changed_.end());
         for (const std::size_t host : changed_)
             words_.push_back(
-                {host, now + fleet_.word_delay, hosts_[host]->own_work()});
+                {host, now + fleet_.report_delay, hosts_[host]->own_work()});
         changed_.clear();
     }
 
-    const fleet_shape& fleet_;
-    const std::vector<generation_order>& orders_;
-    std::vector<generation_fate> fates_;
+    const fleet_config& fleet_;
+    const std::vector<generation_request>& orders_;
+    std::vector<generation_outcome> fates_;
     routing::service service_;
     std::vector<std::unique_ptr<simulated_host>> hosts_;
     std::vector<simulated_engine> engines_;
@@ -274,9 +275,9 @@
 
 } // namespace
 
-std::vector<generation_fate> replay_fleet(
-    const fleet_shape& fleet,
-    const std::vector<generation_order>& orders,
+std::vector<generation_outcome> replay_fleet(
+    const fleet_config& fleet,
+    const std::vector<generation_request>& orders,
     core::time_point end)
 {
     return running_replay(fleet, orders).play(end);
--- a/libraries/replay/src/simulated_engine.cpp
+++ b/libraries/replay/src/simulated_engine.cpp
@@ -7,7 +7,7 @@
 namespace godwit::replay {
 
 simulated_engine
-simulated_engine::create(const engine_shape& shape, core::time_point now)
+simulated_engine::create(const engine_config& shape, core::time_point now)
 {
     return {shape, now};
 }
@@ -19,7 +19,9 @@
 }
 
 void simulated_engine::start(
-    std::size_t generation, const generation_order& order, core::time_point now)
+    std::size_t generation,
+    const generation_request& order,
+    core::time_point now)
 {
     if (runs_.empty())
         step_begins_ = now;
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 admission::generation_size
-size_of(const generation_order& order, std::uint64_t written_tokens)
+size_of(const generation_request& order, std::uint64_t written_tokens)
 {
     return admission::generation_size::create(
         {order.prompt_tokens, 4 * order.output_tokens, order.expected_tokens},
@@ -31,7 +31,9 @@
 }
 
 void simulated_host::arrives(
-    std::size_t generation, const generation_order& order, core::time_point now)
+    std::size_t generation,
+    const generation_request& order,
+    core::time_point now)
 {
     const auto plan = admission::wait_policy::create(
         {now, now + order.patience, order.objective, order.priority});
--- a/libraries/replay/src/simulated_host.hpp
+++ b/libraries/replay/src/simulated_host.hpp
@@ -9,7 +9,7 @@
 #include <godwit/placement/server_health.hpp>
 #include <godwit/placement/server_limits.hpp>
 #include <godwit/placement/slow_server_detector.hpp>
-#include <godwit/replay/generation_order.hpp>
+#include <godwit/replay/generation_request.hpp>
 #include <godwit/routing/service.hpp>
 
 #include <cstddef>
@@ -46,7 +46,7 @@
 
     void arrives(
         std::size_t generation,
-        const generation_order& order,
+        const generation_request& order,
         core::time_point now);
 
     /// The prompt is read, or the generation wrote one event more: its
@@ -80,14 +80,14 @@
 private:
     struct waiting_generation
     {
-        generation_order order;
+        generation_request order;
         admission::wait_policy plan;
         core::time_point next_attempt;
     };
 
     struct running_generation
     {
-        generation_order order;
+        generation_request order;
         placement::server_id server;
         placement::work_size work;
         placement::event_gap_tracker rhythm;
--- a/tests/replay/load_replay_test.cpp
+++ b/tests/replay/load_replay_test.cpp
@@ -22,7 +22,7 @@
 constexpr core::duration objective = std::chrono::milliseconds(1800);
 
 // Long text: 3,000 tokens in, some 900 out.
-generation_order long_order(std::size_t host, int arrives_ms)
+generation_request long_order(std::size_t host, int arrives_ms)
 {
     return {
         host,
@@ -36,9 +36,9 @@
 }
 
 // Nine hosts and their engines in three zones.
-fleet_shape nine_hosts(std::size_t engines)
+fleet_config nine_hosts(std::size_t engines)
 {
-    fleet_shape fleet;
+    fleet_config fleet;
     fleet.host_zones = {0, 0, 0, 0, 1, 1, 1, 2, 2};
     for (std::size_t engine = 0; engine < engines; ++engine)
         fleet.engines.push_back({engine % 3, at_ms(0)});
@@ -46,8 +46,8 @@
 }
 
 std::size_t begun_late(
-    const std::vector<generation_order>& orders,
-    const std::vector<generation_fate>& fates)
+    const std::vector<generation_request>& orders,
+    const std::vector<generation_outcome>& fates)
 {
     std::size_t late = 0;
     for (std::size_t each = 0; each < orders.size(); ++each) {
@@ -69,9 +69,9 @@
     CPPUNIT_TEST(test_engines_that_are_quick_again_are_used_again);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::vector<generation_order> steady_load(double a_second)
+    static std::vector<generation_request> steady_load(double a_second)
     {
-        std::vector<generation_order> orders;
+        std::vector<generation_request> orders;
         core::random random(7);
         for (double at = 0; at < 20000; at += 2000.0 * random.unit() / a_second)
             orders.push_back(long_order(random.below(9), static_cast<int>(at)));
@@ -83,7 +83,7 @@
         const auto orders = steady_load(5.0);
         const auto fates = replay_fleet(nine_hosts(14), orders, at_ms(45000));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, begun_late(orders, fates));
-        for (const generation_fate& fate : fates)
+        for (const generation_outcome& fate : fates)
             CPPUNIT_ASSERT(fate.ended && fate.preemptions == 0);
     }
 
@@ -99,9 +99,9 @@
     // one joins, of which all hosts hear at the same moment.
     void test_hosts_do_not_rush_onto_an_engine_that_joins()
     {
-        fleet_shape fleet = nine_hosts(3);
+        fleet_config fleet = nine_hosts(3);
         fleet.engines.push_back({0, at_ms(3000)});
-        std::vector<generation_order> orders;
+        std::vector<generation_request> orders;
         orders.reserve(27 + 18);
         for (int each = 0; each < 27; ++each)
             orders.push_back(
@@ -135,23 +135,22 @@
         return {2, 5, 9, 14, 19, 24, 28};
     }
 
-    static fleet_shape large_fleet()
+    static fleet_config large_fleet()
     {
-        fleet_shape fleet;
+        fleet_config fleet;
         for (std::size_t host = 0; host < many_hosts; ++host)
             fleet.host_zones.push_back(host % 4);
         for (std::size_t engine = 0; engine < many_engines; ++engine)
             fleet.engines.push_back({engine % 4, at_ms(0)});
         for (const std::size_t engine : slow_engines())
-            fleet.slow_spells.push_back(
-                {engine, at_ms(6000), at_ms(14000), 3.5});
+            fleet.slowdowns.push_back({engine, at_ms(6000), at_ms(14000), 3.5});
         return fleet;
     }
 
-    static generation_order mixed_order(core::random& random, int arrives_ms)
+    static generation_request mixed_order(core::random& random, int arrives_ms)
     {
         constexpr double short_share = 0.41;
-        generation_order order =
+        generation_request order =
             long_order(random.below(many_hosts), arrives_ms);
         order.prompt_tokens =
             static_cast<std::uint32_t>(2000 + random.below(2000));
@@ -163,10 +162,10 @@
         return order;
     }
 
-    static std::vector<generation_order> mixed_load(std::uint64_t seed)
+    static std::vector<generation_request> mixed_load(std::uint64_t seed)
     {
         constexpr double mean_pause_ms = 24.0;
-        std::vector<generation_order> orders;
+        std::vector<generation_request> orders;
         core::random random(seed);
         for (double at = 0; at < 20000; at += 2 * mean_pause_ms * random.unit())
             orders.push_back(mixed_order(random, static_cast<int>(at)));
@@ -174,13 +173,13 @@
     }
 
     static bool
-    is_placed_between(const generation_fate& fate, int from_ms, int until_ms)
+    is_placed_between(const generation_outcome& fate, int from_ms, int until_ms)
     {
         return fate.placed && *fate.placed >= at_ms(from_ms) &&
                *fate.placed < at_ms(until_ms);
     }
 
-    static bool is_at_slow_engine(const generation_fate& fate)
+    static bool is_at_slow_engine(const generation_outcome& fate)
     {
         const auto slow = slow_engines();
         return std::find(slow.begin(), slow.end(), *fate.engine) != slow.end();
@@ -200,7 +199,7 @@
         for (const std::uint64_t seed : {5, 6, 7}) {
             const auto fates =
                 replay_fleet(large_fleet(), mixed_load(seed), at_ms(40000));
-            for (const generation_fate& fate : fates) {
+            for (const generation_outcome& fate : fates) {
                 if (!is_placed_between(fate, from_ms, until_ms))
                     continue;
                 ++count.all;
