--- a/services/entry/include/godwit/entry/accepted_call.hpp
+++ b/services/entry/include/godwit/entry/accepted_call.hpp
@@ -2,7 +2,7 @@
 
 #include <godwit/core/identifiers.hpp>
 #include <godwit/core/time.hpp>
-#include <godwit/entry/call_terms.hpp>
+#include <godwit/entry/request_metadata.hpp>
 #include <godwit/http/exchange.hpp>
 #include <godwit/routing/route_table.hpp>
 
@@ -16,7 +16,7 @@
 struct accepted_call
 {
     http::exchange& caller;
-    call_terms terms;
+    request_metadata metadata;
     /// Keeps `via` and `target` alive across changes.
     std::shared_ptr<const routing::route_table> routes;
     const routing::route& via;
--- a/services/entry/include/godwit/entry/call_answers.hpp
+++ b/services/entry/include/godwit/entry/call_answers.hpp
@@ -4,7 +4,7 @@
 #include <godwit/core/time.hpp>
 #include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
-#include <godwit/entry/forward_terms.hpp>
+#include <godwit/entry/forwarding_metadata.hpp>
 #include <godwit/entry/refusal.hpp>
 #include <godwit/http/request.hpp>
 #include <godwit/telemetry/request_metrics.hpp>
@@ -18,7 +18,7 @@
 [[nodiscard]] http::request forwarded_request(
     const entry_context& context,
     const accepted_call& call,
-    forward_terms terms);
+    forwarding_metadata terms);
 
 /// The fingerprint of the request as received from the caller.
 [[nodiscard]] admission::request_fingerprint
--- a/services/entry/include/godwit/entry/call_service.hpp
+++ b/services/entry/include/godwit/entry/call_service.hpp
@@ -42,7 +42,7 @@
     };
 
     [[nodiscard]] tl::expected<resolved_call, unrouted_call>
-    resolve(const http::request& received, const call_terms& terms) const;
+    resolve(const http::request& received, const request_metadata& terms) const;
     boost::asio::awaitable<void>
     wait_while(std::function<bool()> is_outdated) const;
     boost::asio::awaitable<void> refuse(
--- a/services/entry/include/godwit/entry/dialect.hpp
+++ b/services/entry/include/godwit/entry/dialect.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include <godwit/entry/answer_terms.hpp>
-#include <godwit/entry/call_terms.hpp>
-#include <godwit/entry/forward_terms.hpp>
+#include <godwit/entry/forwarding_metadata.hpp>
 #include <godwit/entry/hold.hpp>
 #include <godwit/entry/migration.hpp>
+#include <godwit/entry/request_metadata.hpp>
+#include <godwit/entry/response_metadata.hpp>
 #include <godwit/entry/server_report.hpp>
 #include <godwit/entry/table_reading.hpp>
 #include <godwit/http/header_fields.hpp>
@@ -24,7 +24,7 @@
 template<class Codec>
 concept wire_codec = requires(
     const http::header_fields& fields,
-    const forward_terms& forward,
+    const forwarding_metadata& forward,
     const copy_order& order,
     const hold_order& wanted,
     const http::response& answer,
@@ -32,16 +32,16 @@
 {
     // What a caller's request says of itself.
     {
-        Codec::read_call(fields)
-        } -> std::same_as<call_terms>;
+        Codec::read_request_metadata(fields)
+        } -> std::same_as<request_metadata>;
     // The fields of a request as a backend server gets them.
     {
         Codec::forwarded_fields(fields, forward)
         } -> std::same_as<http::header_fields>;
     // What a backend server's answer says of itself.
     {
-        Codec::read_answer(fields)
-        } -> std::same_as<answer_terms>;
+        Codec::read_response_metadata(fields)
+        } -> std::same_as<response_metadata>;
     // The fields of an answer as the caller gets them.
     {
         Codec::returned_fields(fields)
@@ -82,10 +82,10 @@
 /// The functions of one codec, so that the program is compiled once.
 struct dialect
 {
-    call_terms (*read_call)(const http::header_fields&);
+    request_metadata (*read_request_metadata)(const http::header_fields&);
     http::header_fields (*forwarded_fields)(
-        const http::header_fields&, const forward_terms&);
-    answer_terms (*read_answer)(const http::header_fields&);
+        const http::header_fields&, const forwarding_metadata&);
+    response_metadata (*read_response_metadata)(const http::header_fields&);
     http::header_fields (*returned_fields)(const http::header_fields&);
     http::request (*write_copy_order)(const copy_order&);
     copy_answer (*read_copy_answer)(const http::response&);
@@ -101,9 +101,9 @@
     [[nodiscard]] static constexpr dialect of() noexcept
     {
         return dialect{
-            &Codec::read_call,
+            &Codec::read_request_metadata,
             &Codec::forwarded_fields,
-            &Codec::read_answer,
+            &Codec::read_response_metadata,
             &Codec::returned_fields,
             &Codec::write_copy_order,
             &Codec::read_copy_answer,
--- a/services/entry/include/godwit/entry/forward_terms.hpp
+++ b/services/entry/include/godwit/entry/forwarding_metadata.hpp
@@ -11,7 +11,7 @@
 namespace godwit::entry {
 
 /// What an entry host tells a backend server beside the request itself.
-struct forward_terms
+struct forwarding_metadata
 {
     placement::server_id server; ///< No other one may run the request.
     core::duration time_left{};  ///< Until the caller leaves.
@@ -20,8 +20,8 @@
     std::optional<continuation> resumes;
     std::optional<std::string> hold; ///< Room that the server keeps free.
 
-    friend bool
-    operator==(const forward_terms&, const forward_terms&) = default;
+    friend bool operator==(
+        const forwarding_metadata&, const forwarding_metadata&) = default;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/answer_terms.hpp
+++ b/services/entry/include/godwit/entry/response_metadata.hpp
@@ -6,7 +6,7 @@
 namespace godwit::entry {
 
 /// What a backend server says of its answer beside the answer itself.
-struct answer_terms
+struct response_metadata
 {
     std::string attempt_id; ///< Of the request it answers; empty if absent.
     bool is_signed = false; ///< The server vouches for the answer.
@@ -17,7 +17,8 @@
     std::optional<double> requests_per_second;
     bool has_invalid_limit = false; ///< Invalid or repeated.
 
-    friend bool operator==(const answer_terms&, const answer_terms&) = default;
+    friend bool
+    operator==(const response_metadata&, const response_metadata&) = default;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/server_limit_words.hpp
+++ b/services/entry/include/godwit/entry/server_limit_words.hpp
@@ -2,8 +2,8 @@
 
 #include <godwit/core/result.hpp>
 #include <godwit/core/time.hpp>
-#include <godwit/entry/answer_terms.hpp>
 #include <godwit/entry/entry_context.hpp>
+#include <godwit/entry/response_metadata.hpp>
 #include <godwit/placement/backend_server.hpp>
 #include <godwit/placement/server_limits.hpp>
 #include <godwit/wire/server_limits.hpp>
@@ -28,7 +28,7 @@
 void update_limit(
     entry_context& context,
     const placement::backend_server& server,
-    const answer_terms& terms,
+    const response_metadata& terms,
     core::time_point sent_at);
 
 } // namespace godwit::entry
--- a/services/entry/src/call_answers.cpp
+++ b/services/entry/src/call_answers.cpp
@@ -11,7 +11,7 @@
 http::request forwarded_request(
     const entry_context& context,
     const accepted_call& call,
-    forward_terms terms)
+    forwarding_metadata terms)
 {
     const http::request& received = call.caller.received();
     terms.time_left = std::max(
@@ -44,7 +44,7 @@
 {
     const core::time_point now = core::monotonic_now();
     log_refused(
-        call.terms.attempt_id,
+        call.metadata.attempt_id,
         call.via.name,
         reason,
         call.routes->version(),
--- a/services/entry/src/call_service.cpp
+++ b/services/entry/src/call_service.cpp
@@ -66,7 +66,8 @@
 {
     const core::time_point arrived = core::monotonic_now();
     const http::request& received = caller.received();
-    call_terms terms = context_.words.read_call(received.fields);
+    request_metadata terms =
+        context_.words.read_request_metadata(received.fields);
     if (context_.is_refreshing())
         co_await wait_while(context_.is_refreshing);
     auto found = resolve(received, terms);
@@ -106,7 +107,7 @@
 
 tl::expected<call_service::resolved_call, call_service::unrouted_call>
 call_service::resolve(
-    const http::request& received, const call_terms& terms) const
+    const http::request& received, const request_metadata& terms) const
 {
     const auto& routes = context_.routes;
     if (!routes)
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -294,7 +294,7 @@
 
 asio::awaitable<copy_answer> migrator::copy(copy_phase phase)
 {
-    copy_order order{call_->terms.attempt_id, destination_->address, phase};
+    copy_order order{call_->metadata.attempt_id, destination_->address, phase};
     http::request outgoing = context_.words.write_copy_order(order);
     const http::fetch_limits limits{.deadline = copy_limit};
     const core::time_point before = core::monotonic_now();
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::optional<admission::generation_size> size_of(const call_terms& terms)
+std::optional<admission::generation_size> size_of(const request_metadata& terms)
 {
     if (!terms.generation)
         return std::nullopt;
@@ -36,7 +36,7 @@
            call_->ends,
            call_->via.latency_objective,
            call_->priority})),
-      size_(size_of(call_->terms))
+      size_(size_of(call_->metadata))
 {}
 
 void room_search::exclude(const placement::server_id& server)
--- a/services/entry/src/server_limit_words.cpp
+++ b/services/entry/src/server_limit_words.cpp
@@ -63,7 +63,7 @@
 void update_limit(
     entry_context& context,
     const placement::backend_server& server,
-    const answer_terms& terms,
+    const response_metadata& terms,
     core::time_point sent_at)
 {
     if (terms.has_invalid_limit) {
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -69,7 +69,7 @@
     const placement::server_id& server,
     std::optional<continuation> resumes) const
 {
-    forward_terms terms;
+    forwarding_metadata terms;
     terms.server = server;
     // Where room was kept the order is settled. An urgent request would stop
     // the newest of the others when memory ends, to be read again: three
@@ -136,7 +136,7 @@
     adopt(std::make_shared<upstream>(
         context_, server, call_->via.latency_objective));
     http::request outgoing = request_for(server.id, std::nullopt);
-    const std::string attempt_id = call_->terms.attempt_id;
+    const std::string attempt_id = call_->metadata.attempt_id;
     auto head =
         co_await active_->begin(std::move(outgoing), attempt_id, call_->ends);
     const bool was_handed_over =
@@ -162,7 +162,8 @@
 stream_call::take_answer(http::response_head head)
 {
     const placement::backend_server& server = active_->server();
-    const answer_terms said = context_.words.read_answer(head.fields);
+    const response_metadata said =
+        context_.words.read_response_metadata(head.fields);
     if (said.is_not_run) {
         log_send_failed(*call_, server, "not_run", std::to_string(head.status));
         context_.health.record_full(server.id, core::monotonic_now());
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -19,14 +19,14 @@
 admission::generation_size stream_call::size() const
 {
     return admission::generation_size::create(
-        *call_->terms.generation,
+        *call_->metadata.generation,
         pace_.events * call_->target.engine->tokens_per_event);
 }
 
 // A run that moves brings its memory along: there is nothing to read.
 placement::work_size stream_call::moved_work() const
 {
-    if (!call_->terms.generation || !call_->target.engine)
+    if (!call_->metadata.generation || !call_->target.engine)
         return placement::work_size{.requests = 1};
     return size().migrated_work();
 }
@@ -34,7 +34,8 @@
 // A run that has not begun has no memory that could move.
 std::uint64_t stream_call::tokens_left() const
 {
-    if (pace_.events == 0 || !call_->terms.generation || !call_->target.engine)
+    if (pace_.events == 0 || !call_->metadata.generation ||
+        !call_->target.engine)
         return 0;
     return size().tokens_left();
 }
@@ -102,7 +103,7 @@
 
 void stream_call::consider_rebalancing()
 {
-    if (!call_->terms.generation || !call_->target.engine)
+    if (!call_->metadata.generation || !call_->target.engine)
         return;
     const core::time_point now = core::monotonic_now();
     if (!rebalancing_.may_attempt(active_->server().zone, now))
@@ -151,7 +152,7 @@
     active_ = next;
     splitter_ = event_splitter();
     rhythm_ = placement::event_gap_tracker();
-    const std::string attempt_id = call_->terms.attempt_id;
+    const std::string attempt_id = call_->metadata.attempt_id;
     auto head =
         co_await next->begin(std::move(outgoing), attempt_id, call_->ends);
     const bool runs = head && head->status < first_failure;
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -100,7 +100,8 @@
         auto head = co_await stream_->read_head(left_until(end));
         if (!head)
             co_return tl::unexpected(to_failure(head.error()));
-        const answer_terms said = context_.words.read_answer(head->fields);
+        const response_metadata said =
+            context_.words.read_response_metadata(head->fields);
         if (said.attempt_id.empty() || said.attempt_id == attempt_id) {
             update_limit(context_, server_, said, sent_at_);
             co_return std::move(*head);
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -180,11 +180,11 @@
     const core::time_point end = attempt_end(core::monotonic_now());
 
     attempt_result result;
-    forward_terms terms;
+    forwarding_metadata terms;
     terms.server = server.id;
     http::request outgoing =
         forwarded_request(context_, call_, std::move(terms));
-    const std::string attempt_id = call_.terms.attempt_id;
+    const std::string attempt_id = call_.metadata.attempt_id;
     auto head = co_await exchange->begin(std::move(outgoing), attempt_id, end);
     upstream_result<std::string> body;
     if (head)
@@ -209,7 +209,8 @@
         co_return result;
     }
     exchange->finish();
-    const answer_terms said = context_.words.read_answer(head->fields);
+    const response_metadata said =
+        context_.words.read_response_metadata(head->fields);
     result.may_have_run = !said.is_not_run;
     if (said.is_not_run) {
         ++refusals_;
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -147,7 +147,7 @@
             {"X-Godwitworks-Token-Usage", "1460,80"},
             {"X-Godwitworks-Length-Hint", "33.5"},
             {"Authorization", "bearer k1"}};
-        const auto terms = request_codec::read_call(fields);
+        const auto terms = request_codec::read_request_metadata(fields);
         CPPUNIT_ASSERT_EQUAL(std::string("a1"), terms.attempt_id);
         CPPUNIT_ASSERT_EQUAL(std::string("k1"), terms.key);
         CPPUNIT_ASSERT(*terms.time_left == std::chrono::seconds(39));
@@ -157,7 +157,7 @@
             const http::header_fields odd{
                 {"X-Godwitworks-Token-Usage", size},
                 {"X-Godwitworks-Deadline-Ms", size}};
-            const auto read = request_codec::read_call(odd);
+            const auto read = request_codec::read_request_metadata(odd);
             CPPUNIT_ASSERT(!read.generation);
             CPPUNIT_ASSERT(
                 read.time_left.has_value() == (std::string(size) == "5"));
@@ -176,7 +176,7 @@
             {"X-Godwitworks-Request-Priority", "0"},
             {"Authorization", "Bearer k1"},
             {"Accept", "x"}};
-        entry::forward_terms terms;
+        entry::forwarding_metadata terms;
         terms.server = placement::server_id("i-1");
         terms.time_left = std::chrono::milliseconds(1500);
         terms.organisation = core::organisation_name("north");
@@ -235,7 +235,7 @@
         CPPUNIT_ASSERT(read(404, "").verdict == hold_verdict::failed);
         CPPUNIT_ASSERT(read(200, "{}").verdict == hold_verdict::failed);
         CPPUNIT_ASSERT(read(200, "[").verdict == hold_verdict::failed);
-        entry::forward_terms terms;
+        entry::forwarding_metadata terms;
         terms.server = placement::server_id("i-1");
         terms.hold = "q1";
         http::header_fields received;
--- a/tests/platform_adapter/hostile_values_test.cpp
+++ b/tests/platform_adapter/hostile_values_test.cpp
@@ -50,7 +50,8 @@
     {
         http::header_fields fields;
         fields.set("X-Godwitworks-Deadline-Ms", "9223372036854775807");
-        const auto left = request_codec::read_call(fields).time_left;
+        const auto left =
+            request_codec::read_request_metadata(fields).time_left;
         CPPUNIT_ASSERT(left);
         CPPUNIT_ASSERT(*left >= std::chrono::hours(24));
         // Added to the present moment, too.
