--- a/services/entry/include/godwit/entry/dialect.hpp
+++ b/services/entry/include/godwit/entry/dialect.hpp
@@ -25,8 +25,8 @@
 concept wire_codec = requires(
     const http::header_fields& fields,
     const forwarding_metadata& forward,
-    const copy_order& order,
-    const hold_order& wanted,
+    const copy_request& order,
+    const hold_request& wanted,
     const http::response& answer,
     const std::string& handle)
 {
@@ -47,22 +47,22 @@
         Codec::returned_fields(fields)
         } -> std::same_as<http::header_fields>;
     {
-        Codec::write_copy_order(order)
+        Codec::write_copy_request(order)
         } -> std::same_as<http::request>;
     {
-        Codec::read_copy_answer(answer)
-        } -> std::same_as<copy_answer>;
+        Codec::read_copy_response(answer)
+        } -> std::same_as<copy_response>;
     // Frees a copy that nobody goes on from.
     {
         Codec::write_copy_release(handle)
         } -> std::same_as<http::request>;
     // Keeps room free for a request that is sent next.
     {
-        Codec::write_hold_order(wanted)
+        Codec::write_hold_request(wanted)
         } -> std::same_as<http::request>;
     {
-        Codec::read_hold_answer(answer)
-        } -> std::same_as<hold_answer>;
+        Codec::read_hold_response(answer)
+        } -> std::same_as<hold_response>;
     {
         Codec::write_hold_release(handle)
         } -> std::same_as<http::request>;
@@ -87,11 +87,11 @@
         const http::header_fields&, const forwarding_metadata&);
     response_metadata (*read_response_metadata)(const http::header_fields&);
     http::header_fields (*returned_fields)(const http::header_fields&);
-    http::request (*write_copy_order)(const copy_order&);
-    copy_answer (*read_copy_answer)(const http::response&);
+    http::request (*write_copy_request)(const copy_request&);
+    copy_response (*read_copy_response)(const http::response&);
     http::request (*write_copy_release)(const std::string&);
-    http::request (*write_hold_order)(const hold_order&);
-    hold_answer (*read_hold_answer)(const http::response&);
+    http::request (*write_hold_request)(const hold_request&);
+    hold_response (*read_hold_response)(const http::response&);
     http::request (*write_hold_release)(const std::string&);
     http::request (*write_report_request)();
     core::result<server_report> (*read_report)(const http::response&);
@@ -105,11 +105,11 @@
             &Codec::forwarded_fields,
             &Codec::read_response_metadata,
             &Codec::returned_fields,
-            &Codec::write_copy_order,
-            &Codec::read_copy_answer,
+            &Codec::write_copy_request,
+            &Codec::read_copy_response,
             &Codec::write_copy_release,
-            &Codec::write_hold_order,
-            &Codec::read_hold_answer,
+            &Codec::write_hold_request,
+            &Codec::read_hold_response,
             &Codec::write_hold_release,
             &Codec::write_report_request,
             &Codec::read_report,
--- a/services/entry/include/godwit/entry/hold.hpp
+++ b/services/entry/include/godwit/entry/hold.hpp
@@ -9,16 +9,16 @@
 namespace godwit::entry {
 
 /// Asks a server to keep a slot and memory free for a request.
-struct hold_order
+struct hold_request
 {
     std::uint64_t tokens = 0;
     core::duration lifetime{}; ///< An unused hold ends by itself after this.
 
-    friend bool operator==(const hold_order&, const hold_order&) = default;
+    friend bool operator==(const hold_request&, const hold_request&) = default;
 };
 
 /// How a server answered.
-enum class hold_verdict
+enum class hold_status
 {
     granted,
     refused,     ///< It has no room.
@@ -27,12 +27,13 @@
 };
 
 /// A server's answer to an order.
-struct hold_answer
+struct hold_response
 {
-    hold_verdict verdict = hold_verdict::failed;
+    hold_status status = hold_status::failed;
     std::optional<std::string> handle; ///< Of a hold that was granted.
 
-    friend bool operator==(const hold_answer&, const hold_answer&) = default;
+    friend bool
+    operator==(const hold_response&, const hold_response&) = default;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/migration.hpp
+++ b/services/entry/include/godwit/entry/migration.hpp
@@ -16,17 +16,17 @@
 };
 
 /// An order to copy the memory of a running generation.
-struct copy_order
+struct copy_request
 {
     std::string attempt_id; ///< Of the request that the generation serves.
     http::endpoint destination;
     copy_phase phase = copy_phase::running;
 
-    friend bool operator==(const copy_order&, const copy_order&) = default;
+    friend bool operator==(const copy_request&, const copy_request&) = default;
 };
 
 /// How a copy ended.
-enum class copy_verdict
+enum class copy_status
 {
     done,
     not_running, ///< There is no such generation at the source.
@@ -37,14 +37,15 @@
 };
 
 /// The source's answer to an order.
-struct copy_answer
+struct copy_response
 {
-    copy_verdict verdict = copy_verdict::failed;
+    copy_status status = copy_status::failed;
     /// Names the copy at the source. Also set when a last copy was refused:
     /// the source then keeps the stopped generation under it.
     std::optional<std::string> handle;
 
-    friend bool operator==(const copy_answer&, const copy_answer&) = default;
+    friend bool
+    operator==(const copy_response&, const copy_response&) = default;
 };
 
 /// Where a stopped generation goes on.
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -93,7 +93,7 @@
     boost::asio::awaitable<void> move();
     boost::asio::awaitable<copies_outcome> copy_while_running();
     boost::asio::awaitable<void> copy_last();
-    boost::asio::awaitable<copy_answer> copy(copy_phase phase);
+    boost::asio::awaitable<copy_response> copy(copy_phase phase);
     boost::asio::awaitable<void> wait_for_links();
     void claim_links(core::duration hold);
 
--- a/services/entry/include/godwit/entry/server_hold.hpp
+++ b/services/entry/include/godwit/entry/server_hold.hpp
@@ -14,7 +14,7 @@
 
 /// Asks the server to keep room for the call, and logs what it said. The
 /// arguments live until it is done.
-boost::asio::awaitable<hold_answer> take_hold(
+boost::asio::awaitable<hold_response> acquire_hold(
     entry_context& context,
     const accepted_call& call,
     const placement::backend_server& server,
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -35,20 +35,20 @@
 // A server that has left for this long is gone, or about to be.
 constexpr core::duration longest_leaving = std::chrono::seconds(6);
 
-std::string_view name_of(copy_verdict verdict)
+std::string_view name_of(copy_status verdict)
 {
     switch (verdict) {
-    case copy_verdict::done:
+    case copy_status::done:
         return "done";
-    case copy_verdict::not_running:
+    case copy_status::not_running:
         return "not_running";
-    case copy_verdict::busy:
+    case copy_status::busy:
         return "busy";
-    case copy_verdict::refused:
+    case copy_status::refused:
         return "refused";
-    case copy_verdict::failed:
+    case copy_status::failed:
         return "failed";
-    case copy_verdict::unreachable:
+    case copy_status::unreachable:
         return "unreachable";
     }
     return "failed";
@@ -237,10 +237,10 @@
         else
             claim_links(link_claim_span);
         const core::time_point before = core::monotonic_now();
-        const copy_answer answer = co_await copy(copy_phase::running);
+        const copy_response answer = co_await copy(copy_phase::running);
         const core::duration took = core::monotonic_now() - before;
-        switch (answer.verdict) {
-        case copy_verdict::done:
+        switch (answer.status) {
+        case copy_status::done:
             ++copies;
             reserved_->memory_has_arrived();
             if (answer.handle)
@@ -250,19 +250,19 @@
             if (took <= short_copy || copies == most_running_copies)
                 co_return copies_outcome::nearly_all;
             break;
-        case copy_verdict::refused:
+        case copy_status::refused:
             refused_.push_back(destination_->id);
             co_return copies_outcome::no_room;
-        case copy_verdict::not_running:
+        case copy_status::not_running:
             co_return copies_outcome::not_begun;
-        case copy_verdict::failed:
-        case copy_verdict::unreachable:
+        case copy_status::failed:
+        case copy_status::unreachable:
             if (++failures >= most_failures) {
                 refused_.push_back(destination_->id);
                 co_return copies_outcome::no_room;
             }
             [[fallthrough]];
-        case copy_verdict::busy:
+        case copy_status::busy:
             co_await pause(context_.executor, retry_pause);
             if (is_broken_ || core::monotonic_now() - began_ > longest_leaving)
                 co_return copies_outcome::broken;
@@ -274,28 +274,29 @@
 
 asio::awaitable<void> migrator::copy_last()
 {
-    const copy_answer answer = co_await copy(copy_phase::last);
-    if (answer.verdict == copy_verdict::done && answer.handle) {
+    const copy_response answer = co_await copy(copy_phase::last);
+    if (answer.status == copy_status::done && answer.handle) {
         moved_ = migrated_run{*destination_, *answer.handle};
         co_return;
     }
-    if (answer.verdict == copy_verdict::refused && answer.handle) {
+    if (answer.status == copy_status::refused && answer.handle) {
         // The run stopped, and its memory stayed where it was.
         moved_ = migrated_run{source_->server(), *answer.handle};
         co_return;
     }
     // No run there, or no source: what was copied while it ran is all there
     // is. The destination reads again what came later.
-    const bool is_gone = answer.verdict == copy_verdict::not_running ||
-                         answer.verdict == copy_verdict::unreachable;
+    const bool is_gone = answer.status == copy_status::not_running ||
+                         answer.status == copy_status::unreachable;
     if (is_broken_ && is_gone)
         moved_ = copied_;
 }
 
-asio::awaitable<copy_answer> migrator::copy(copy_phase phase)
+asio::awaitable<copy_response> migrator::copy(copy_phase phase)
 {
-    copy_order order{call_->metadata.attempt_id, destination_->address, phase};
-    http::request outgoing = context_.words.write_copy_order(order);
+    copy_request order{
+        call_->metadata.attempt_id, destination_->address, phase};
+    http::request outgoing = context_.words.write_copy_request(order);
     const http::fetch_limits limits{.deadline = copy_limit};
     const core::time_point before = core::monotonic_now();
     const auto answered = co_await http::fetch(
@@ -303,17 +304,17 @@
         source_->server().address,
         std::move(outgoing),
         limits);
-    copy_answer answer;
-    answer.verdict = copy_verdict::unreachable;
+    copy_response answer;
+    answer.status = copy_status::unreachable;
     if (answered)
-        answer = context_.words.read_copy_answer(*answered);
+        answer = context_.words.read_copy_response(*answered);
     if (answer.handle)
         handle_ = answer.handle;
     log_migration(
         *call_,
         source_->server(),
         destination_->id.value(),
-        std::string(name_of(answer.verdict)) +
+        std::string(name_of(answer.status)) +
             (phase == copy_phase::last ? "_last_" : "_running_") +
             (answered ? std::to_string(answered->status)
                       : answered.error().cause.message()),
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -126,8 +126,8 @@
     // A hold would be one more request to a server that limits them.
     if (!can_hold(*call_) || context_.limits.is_limited(choice.server.id))
         co_return room;
-    hold_answer answer =
-        co_await take_hold(context_, *call_, choice.server, work.tokens);
+    hold_response answer =
+        co_await acquire_hold(context_, *call_, choice.server, work.tokens);
     room.hold = std::move(answer.handle);
     const core::time_point now = core::monotonic_now();
     if (is_stopped_) {
@@ -135,15 +135,15 @@
             release_hold(context_, room.server, std::move(*room.hold));
         co_return std::nullopt;
     }
-    if (answer.verdict == hold_verdict::refused)
+    if (answer.status == hold_status::refused)
         context_.health.record_full(choice.server.id, now);
-    if (answer.verdict == hold_verdict::unreachable) {
+    if (answer.status == hold_status::unreachable) {
         context_.health.record_unreachable(choice.server.id, now);
         exclude(choice.server.id);
     }
     // A server that does not understand the question gets the request.
-    const bool is_sent = answer.verdict == hold_verdict::granted ||
-                         answer.verdict == hold_verdict::failed;
+    const bool is_sent = answer.status == hold_status::granted ||
+                         answer.status == hold_status::failed;
     if (!is_sent)
         co_return std::nullopt;
     co_return room;
--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -23,24 +23,24 @@
 
 } // namespace
 
-asio::awaitable<hold_answer> take_hold(
+asio::awaitable<hold_response> acquire_hold(
     entry_context& context,
     const accepted_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens)
 {
-    const hold_order order{
+    const hold_request order{
         tokens, std::min(hold_span, call.target.engine->max_hold)};
-    http::request outgoing = context.words.write_hold_order(order);
+    http::request outgoing = context.words.write_hold_request(order);
     const core::duration left = call.ends - core::monotonic_now();
     const http::fetch_limits limits{.deadline = std::min(answer_limit, left)};
     const auto answered = co_await http::fetch(
         *context.connections, server.address, std::move(outgoing), limits);
-    hold_answer answer;
-    answer.verdict = hold_verdict::unreachable;
+    hold_response answer;
+    answer.status = hold_status::unreachable;
     if (answered)
-        answer = context.words.read_hold_answer(*answered);
-    if (answer.verdict != hold_verdict::granted)
+        answer = context.words.read_hold_response(*answered);
+    if (answer.status != hold_status::granted)
         log_hold_failed(
             call,
             server,
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -59,7 +59,7 @@
         .seeds = {}};
 }
 
-http::request broken_copy_order(const copy_order& /*order*/)
+http::request broken_copy_order(const copy_request& /*order*/)
 {
     throw std::runtime_error("a fault of the codec");
 }
@@ -112,7 +112,7 @@
     static dialect words()
     {
         dialect made{};
-        made.write_copy_order = &broken_copy_order;
+        made.write_copy_request = &broken_copy_order;
         return made;
     }
 
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace godwit;
 using namespace godwit::platform_adapter;
-using entry::copy_verdict;
+using entry::copy_status;
 
 const std::string table_text = R"({"version":7,"routes":[
 {"name":"r1","host":"a.example","path_prefix":"/x/","kind":"streaming",
@@ -204,15 +204,15 @@
     void test_copy_answers()
     {
         const auto read = [](unsigned status, const std::string& body) {
-            return request_codec::read_copy_answer({status, {}, body});
+            return request_codec::read_copy_response({status, {}, body});
         };
         const auto done = read(200, R"({"handle":"h1","create_rev":3})");
-        CPPUNIT_ASSERT(done.verdict == copy_verdict::done);
+        CPPUNIT_ASSERT(done.status == copy_status::done);
         CPPUNIT_ASSERT_EQUAL(std::string("h1"), *done.handle);
-        CPPUNIT_ASSERT(read(404, "").verdict == copy_verdict::not_running);
-        CPPUNIT_ASSERT(read(409, "").verdict == copy_verdict::busy);
+        CPPUNIT_ASSERT(read(404, "").status == copy_status::not_running);
+        CPPUNIT_ASSERT(read(409, "").status == copy_status::busy);
         CPPUNIT_ASSERT(read(503, R"({"handle":"h1"})").handle.has_value());
-        CPPUNIT_ASSERT(read(500, "{").verdict == copy_verdict::failed);
+        CPPUNIT_ASSERT(read(500, "{").status == copy_status::failed);
     }
 
     void test_holds()
@@ -220,21 +220,21 @@
         const auto table = read_table(table_text).value();
         const auto* lm = table->find_service(core::service_name("lm"));
         CPPUNIT_ASSERT(lm->engine->max_hold == std::chrono::seconds(2));
-        const http::request order = request_codec::write_hold_order(
+        const http::request order = request_codec::write_hold_request(
             {3200, std::chrono::milliseconds(1500)});
         CPPUNIT_ASSERT_EQUAL(std::string("/api/hold-take"), order.target);
         CPPUNIT_ASSERT_EQUAL(
             std::string(R"({"tokens":3200,"ttl_ms":1500})"), order.body);
         const auto read = [](unsigned status, const std::string& body) {
-            return request_codec::read_hold_answer({status, {}, body});
+            return request_codec::read_hold_response({status, {}, body});
         };
-        using entry::hold_verdict;
+        using entry::hold_status;
         CPPUNIT_ASSERT(read(200, R"({"hold":"q1"})").handle == "q1");
         CPPUNIT_ASSERT(read(200, R"({"hold":17})").handle == "17");
-        CPPUNIT_ASSERT(read(503, "").verdict == hold_verdict::refused);
-        CPPUNIT_ASSERT(read(404, "").verdict == hold_verdict::failed);
-        CPPUNIT_ASSERT(read(200, "{}").verdict == hold_verdict::failed);
-        CPPUNIT_ASSERT(read(200, "[").verdict == hold_verdict::failed);
+        CPPUNIT_ASSERT(read(503, "").status == hold_status::refused);
+        CPPUNIT_ASSERT(read(404, "").status == hold_status::failed);
+        CPPUNIT_ASSERT(read(200, "{}").status == hold_status::failed);
+        CPPUNIT_ASSERT(read(200, "[").status == hold_status::failed);
         entry::forwarding_metadata terms;
         terms.server = placement::server_id("i-1");
         terms.hold = "q1";
