--- a/services/entry/include/godwit/entry/forwarding_metadata.hpp
+++ b/services/entry/include/godwit/entry/forwarding_metadata.hpp
@@ -17,7 +17,7 @@
     core::duration time_left{};  ///< Until the caller leaves.
     std::optional<core::organisation_name> organisation;
     std::optional<int> priority; ///< Of a generation; 0 is the most urgent.
-    std::optional<continuation> resumes;
+    std::optional<resume_point> resume_from;
     std::optional<std::string> hold; ///< Room that the server keeps free.
 
     friend bool operator==(
--- a/services/entry/include/godwit/entry/migration.hpp
+++ b/services/entry/include/godwit/entry/migration.hpp
@@ -11,8 +11,8 @@
 /// Whether a copy of a generation's memory is the last one.
 enum class copy_phase
 {
-    running, ///< The generation goes on meanwhile.
-    last,    ///< The generation stops first, to go on from the copy.
+    pre_copy,      ///< The generation goes on meanwhile.
+    stop_and_copy, ///< The generation stops first, to go on from the copy.
 };
 
 /// An order to copy the memory of a running generation.
@@ -20,7 +20,7 @@
 {
     std::string attempt_id; ///< Of the request that the generation serves.
     http::endpoint destination;
-    copy_phase phase = copy_phase::running;
+    copy_phase phase = copy_phase::pre_copy;
 
     friend bool operator==(const copy_request&, const copy_request&) = default;
 };
@@ -49,13 +49,13 @@
 };
 
 /// Where a stopped generation goes on.
-struct continuation
+struct resume_point
 {
     http::endpoint source;        ///< The server that ran it before.
     std::string handle;           ///< The source's name for the copy.
     std::uint64_t last_event = 0; ///< The last event that the caller has.
 
-    friend bool operator==(const continuation&, const continuation&) = default;
+    friend bool operator==(const resume_point&, const resume_point&) = default;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -62,7 +62,7 @@
     outcome(core::time_point end);
 
     /// Whether it ended with the generation where it was, still running.
-    [[nodiscard]] bool left_it_running() const noexcept
+    [[nodiscard]] bool is_still_at_source() const noexcept
     {
         return is_settled_ && !moved_;
     }
@@ -70,7 +70,7 @@
     /// The stream ended without its last event. Unless it was stopped for
     /// its last copy, the source died under way: then the run goes on from
     /// what the destination holds, if it holds anything.
-    void stream_broke() { is_broken_ = true; }
+    void on_stream_broken() { is_broken_ = true; }
 
 private:
     /// The most that a last copy may wait for others on the link, as the one
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -62,7 +62,7 @@
     boost::asio::awaitable<void> give_up_send(upstream_failure why);
     [[nodiscard]] http::request request_for(
         const placement::server_id& server,
-        std::optional<continuation> resumes) const;
+        std::optional<resume_point> resume_from) const;
     [[nodiscard]] admission::generation_size size() const;
     [[nodiscard]] placement::work_size moved_work() const;
     [[nodiscard]] std::uint64_t tokens_left() const;
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -237,7 +237,7 @@
         else
             claim_links(link_claim_span);
         const core::time_point before = core::monotonic_now();
-        const copy_response answer = co_await copy(copy_phase::running);
+        const copy_response answer = co_await copy(copy_phase::pre_copy);
         const core::duration took = core::monotonic_now() - before;
         switch (answer.status) {
         case copy_status::done:
@@ -274,7 +274,7 @@
 
 asio::awaitable<void> migrator::copy_last()
 {
-    const copy_response answer = co_await copy(copy_phase::last);
+    const copy_response answer = co_await copy(copy_phase::stop_and_copy);
     if (answer.status == copy_status::done && answer.handle) {
         moved_ = migrated_run{*destination_, *answer.handle};
         co_return;
@@ -315,7 +315,7 @@
         source_->server(),
         destination_->id.value(),
         std::string(name_of(answer.status)) +
-            (phase == copy_phase::last ? "_last_" : "_running_") +
+            (phase == copy_phase::stop_and_copy ? "_last_" : "_running_") +
             (answered ? std::to_string(answered->status)
                       : answered.error().cause.message()),
         core::monotonic_now() - before);
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -67,7 +67,7 @@
 
 http::request stream_call::request_for(
     const placement::server_id& server,
-    std::optional<continuation> resumes) const
+    std::optional<resume_point> resume_from) const
 {
     forwarding_metadata terms;
     terms.server = server;
@@ -76,9 +76,9 @@
     // times as many prompts were read in vain.
     if (call_->target.engine && !can_hold(*call_))
         terms.priority = call_->priority;
-    if (!resumes)
+    if (!resume_from)
         terms.hold = hold_;
-    terms.resumes = std::move(resumes);
+    terms.resume_from = std::move(resume_from);
     return forwarded_request(context_, *call_, std::move(terms));
 }
 
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -80,13 +80,13 @@
 {
     leave_server();
     if (migration_)
-        migration_->stream_broke();
+        migration_->on_stream_broken();
 }
 
 // One that ended with the run where it was does not keep another one off.
 void stream_call::forget_failed_migration()
 {
-    if (migration_ && migration_->left_it_running())
+    if (migration_ && migration_->is_still_at_source())
         migration_.reset();
 }
 
@@ -127,7 +127,7 @@
 {
     if (!migration_)
         co_return std::nullopt;
-    migration_->stream_broke();
+    migration_->on_stream_broken();
     const core::time_point end = core::monotonic_now() + stopping_limit;
     const auto moved = co_await migration_->outcome(end);
     if (!moved || caller_gone_ || gate_.refuses(*call_))
@@ -140,11 +140,11 @@
 {
     const core::time_point before = core::monotonic_now();
     const placement::backend_server source = active_->server();
-    continuation resumes{source.address, moved.handle, last_event_};
+    resume_point resume_from{source.address, moved.handle, last_event_};
     auto next = std::make_shared<upstream>(
         context_, moved.destination, call_->via.latency_objective);
     http::request outgoing =
-        request_for(moved.destination.id, std::move(resumes));
+        request_for(moved.destination.id, std::move(resume_from));
     reserved_.reset();
     reserved_ = std::make_unique<reservation>(
         context_, moved.destination.id, moved_work());
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -151,7 +151,7 @@
             // There is no other server. What is posted here looks in between
             // any two steps, as a word that the server leaves may come.
             const std::function<void()> forget_settled = [&] {
-                if (!held->left_it_running()) {
+                if (!held->is_still_at_source()) {
                     asio::post(on.context.executor, std::ref(forget_settled));
                     return;
                 }
