--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
 #include <godwit/admission/request_quarantine.hpp>
-#include <godwit/entry/dialect.hpp>
 #include <godwit/entry/entry_settings.hpp>
 #include <godwit/entry/link_claims.hpp>
 #include <godwit/entry/retry_budgets.hpp>
 #include <godwit/entry/stream_register.hpp>
 #include <godwit/entry/waiting_line.hpp>
+#include <godwit/entry/wire_codec.hpp>
 #include <godwit/http/connection_pool.hpp>
 #include <godwit/placement/copy_queue.hpp>
 #include <godwit/placement/load_ledger.hpp>
@@ -45,7 +45,7 @@
     entry_context(
         const boost::asio::any_io_executor& executor,
         entry_settings settings,
-        const dialect& words);
+        const codec_functions& codec);
 
     entry_context(const entry_context&) = delete;
     entry_context& operator=(const entry_context&) = delete;
@@ -53,7 +53,7 @@
     const boost::asio::any_io_executor executor;
     /// Changes only when the process takes over a changed settings file.
     entry_settings settings;
-    const dialect words;
+    const codec_functions codec;
     /// Null until the first version is known.
     std::shared_ptr<const routing::route_table> routes;
     placement::server_directory directory;
--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -4,7 +4,6 @@
 #include <godwit/core/timer.hpp>
 #include <godwit/entry/call_service.hpp>
 #include <godwit/entry/cell_report.hpp>
-#include <godwit/entry/dialect.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/entry_settings.hpp>
 #include <godwit/entry/host_cell.hpp>
@@ -17,6 +16,7 @@
 #include <godwit/entry/table_history.hpp>
 #include <godwit/entry/table_inquiry.hpp>
 #include <godwit/entry/table_intake.hpp>
+#include <godwit/entry/wire_codec.hpp>
 #include <godwit/http/server.hpp>
 #include <godwit/placement/server_directory.hpp>
 #include <godwit/routing/route_table.hpp>
@@ -45,7 +45,7 @@
     [[nodiscard]] static core::result<std::unique_ptr<entry_process>> create(
         boost::asio::io_context& io,
         entry_settings settings,
-        const dialect& words);
+        const codec_functions& codec);
 
     entry_process(const entry_process&) = delete;
     entry_process& operator=(const entry_process&) = delete;
@@ -149,7 +149,7 @@
     entry_process(
         boost::asio::io_context& io,
         entry_settings settings,
-        const dialect& words);
+        const codec_functions& codec);
 
     [[nodiscard]] core::result<void> listen();
     boost::asio::awaitable<void> answer_readiness(http::exchange& asked);
--- a/services/entry/include/godwit/entry/dialect.hpp
+++ b/services/entry/include/godwit/entry/wire_codec.hpp
@@ -80,7 +80,7 @@
 };
 
 /// The functions of one codec, so that the program is compiled once.
-struct dialect
+struct codec_functions
 {
     request_metadata (*read_request_metadata)(const http::header_fields&);
     http::header_fields (*forwarded_fields)(
@@ -98,9 +98,9 @@
     table_reading (*start_reading_table)(std::string_view);
 
     template<wire_codec Codec>
-    [[nodiscard]] static constexpr dialect of() noexcept
+    [[nodiscard]] static constexpr codec_functions of() noexcept
     {
-        return dialect{
+        return codec_functions{
             &Codec::read_request_metadata,
             &Codec::forwarded_fields,
             &Codec::read_response_metadata,
--- a/services/entry/src/call_answers.cpp
+++ b/services/entry/src/call_answers.cpp
@@ -21,7 +21,7 @@
     return http::request{
         received.method,
         received.target,
-        context.words.forwarded_fields(received.fields, terms),
+        context.codec.forwarded_fields(received.fields, terms),
         received.body};
 }
 
--- a/services/entry/src/call_service.cpp
+++ b/services/entry/src/call_service.cpp
@@ -67,7 +67,7 @@
     const core::time_point arrived = core::monotonic_now();
     const http::request& received = caller.received();
     request_metadata terms =
-        context_.words.read_request_metadata(received.fields);
+        context_.codec.read_request_metadata(received.fields);
     if (context_.is_refreshing())
         co_await wait_while(context_.is_refreshing);
     auto found = resolve(received, terms);
--- a/services/entry/src/entry_context.cpp
+++ b/services/entry/src/entry_context.cpp
@@ -25,8 +25,8 @@
 entry_context::entry_context(
     const boost::asio::any_io_executor& used,
     entry_settings read,
-    const dialect& spoken)
-    : executor(used), settings(std::move(read)), words(spoken),
+    const codec_functions& spoken)
+    : executor(used), settings(std::move(read)), codec(spoken),
       chooser(
           directory,
           ledger,
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -69,10 +69,10 @@
 } // namespace
 
 core::result<std::unique_ptr<entry_process>> entry_process::create(
-    asio::io_context& io, entry_settings settings, const dialect& words)
+    asio::io_context& io, entry_settings settings, const codec_functions& codec)
 {
     std::unique_ptr<entry_process> made(
-        new entry_process(io, std::move(settings), words));
+        new entry_process(io, std::move(settings), codec));
     const auto listening = made->listen();
     if (!listening)
         return tl::unexpected(listening.error());
@@ -80,14 +80,14 @@
 }
 
 entry_process::entry_process(
-    asio::io_context& io, entry_settings settings, const dialect& words)
-    : io_(io), context_(io.get_executor(), std::move(settings), words),
+    asio::io_context& io, entry_settings settings, const codec_functions& codec)
+    : io_(io), context_(io.get_executor(), std::move(settings), codec),
       calls_(context_), signals_(io), tick_timer_(io), stop_timer_(io),
       table_inquiry_(context_.settings.host),
       intake_(
           io.get_executor(),
           table_intake::handlers{
-              context_.words.start_reading_table,
+              context_.codec.start_reading_table,
               [this](const arrived_table& table) { return is_unread(table); },
               [this](arrived_table table, const auto& routes) {
                   table_was_read(std::move(table), routes);
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -52,13 +52,13 @@
         stream.cancel();
         co_return connected.has_value();
     }
-    http::request outgoing = context.words.write_report_request();
+    http::request outgoing = context.codec.write_report_request();
     const http::fetch_limits limits{.deadline = probe_timeout};
     const auto answered =
         co_await http::fetch(server.address, std::move(outgoing), limits);
     if (!answered)
         co_return false;
-    const auto report = context.words.read_report(*answered);
+    const auto report = context.codec.read_report(*answered);
     // The start may be unknown on either side; only two known starts that
     // differ show a restart.
     const bool has_restarted = report && report->start.is_known() &&
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -296,7 +296,7 @@
 {
     copy_request order{
         call_->metadata.attempt_id, destination_->address, phase};
-    http::request outgoing = context_.words.write_copy_request(order);
+    http::request outgoing = context_.codec.write_copy_request(order);
     const http::fetch_limits limits{.deadline = copy_limit};
     const core::time_point before = core::monotonic_now();
     const auto answered = co_await http::fetch(
@@ -307,7 +307,7 @@
     copy_response answer;
     answer.status = copy_status::unreachable;
     if (answered)
-        answer = context_.words.read_copy_response(*answered);
+        answer = context_.codec.read_copy_response(*answered);
     if (answer.handle)
         handle_ = answer.handle;
     log_migration(
@@ -343,7 +343,7 @@
          source = source_->server().address,
          handle =
              *std::exchange(handle_, std::nullopt)]() -> asio::awaitable<void> {
-            http::request outgoing = context.words.write_copy_release(handle);
+            http::request outgoing = context.codec.write_copy_release(handle);
             const http::fetch_limits limits{.deadline = copy_limit};
             // The server frees the copy by itself some seconds later.
             [[maybe_unused]] const auto freed = co_await http::fetch(
--- a/services/entry/src/report_poller.cpp
+++ b/services/entry/src/report_poller.cpp
@@ -69,7 +69,7 @@
 
 asio::awaitable<void> report_poller::ask(placement::backend_server server)
 {
-    http::request question = context_.words.write_report_request();
+    http::request question = context_.codec.write_report_request();
     const http::fetch_limits limits{.deadline = report_limit};
     const auto answered = co_await http::fetch(
         *context_.connections, server.address, std::move(question), limits);
@@ -77,7 +77,7 @@
     // streams decide for themselves.
     if (!answered)
         co_return;
-    const auto report = context_.words.read_report(*answered);
+    const auto report = context_.codec.read_report(*answered);
     if (!report) {
         telemetry::log_event(
             telemetry::log_level::warning,
--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -31,7 +31,7 @@
 {
     const hold_request order{
         tokens, std::min(hold_span, call.target.engine->max_hold)};
-    http::request outgoing = context.words.write_hold_request(order);
+    http::request outgoing = context.codec.write_hold_request(order);
     const core::duration left = call.ends - core::monotonic_now();
     const http::fetch_limits limits{.deadline = std::min(answer_limit, left)};
     const auto answered = co_await http::fetch(
@@ -39,7 +39,7 @@
     hold_response answer;
     answer.status = hold_status::unreachable;
     if (answered)
-        answer = context.words.read_hold_response(*answered);
+        answer = context.codec.read_hold_response(*answered);
     if (answer.status != hold_status::granted)
         log_hold_failed(
             call,
@@ -61,7 +61,7 @@
         [&context,
          address = server.address,
          handle = std::move(handle)]() -> asio::awaitable<void> {
-            http::request outgoing = context.words.write_hold_release(handle);
+            http::request outgoing = context.codec.write_hold_release(handle);
             const http::fetch_limits limits{.deadline = answer_limit};
             // Otherwise the hold ends by itself.
             [[maybe_unused]] const auto freed = co_await http::fetch(
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -163,7 +163,7 @@
 {
     const placement::backend_server& server = active_->server();
     const response_metadata said =
-        context_.words.read_response_metadata(head.fields);
+        context_.codec.read_response_metadata(head.fields);
     if (said.is_not_run) {
         log_send_failed(*call_, server, "not_run", std::to_string(head.status));
         context_.health.record_full(server.id, core::monotonic_now());
@@ -225,7 +225,7 @@
     metrics_.finished(core::outcome::completed, core::monotonic_now());
     http::response answer{
         head.status,
-        context_.words.returned_fields(head.fields),
+        context_.codec.returned_fields(head.fields),
         std::move(*body)};
     [[maybe_unused]] const auto sent =
         co_await call_->caller.respond(std::move(answer));
@@ -243,7 +243,7 @@
 asio::awaitable<void> stream_call::relay(http::response_head head)
 {
     auto begun = co_await call_->caller.start_stream(
-        head.status, context_.words.returned_fields(head.fields));
+        head.status, context_.codec.returned_fields(head.fields));
     if (!begun)
         co_return;
     while (!caller_gone_) {
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -101,7 +101,7 @@
         if (!head)
             co_return tl::unexpected(to_failure(head.error()));
         const response_metadata said =
-            context_.words.read_response_metadata(head->fields);
+            context_.codec.read_response_metadata(head->fields);
         if (said.attempt_id.empty() || said.attempt_id == attempt_id) {
             update_limit(context_, server_, said, sent_at_);
             co_return std::move(*head);
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -210,7 +210,7 @@
     }
     exchange->finish();
     const response_metadata said =
-        context_.words.read_response_metadata(head->fields);
+        context_.codec.read_response_metadata(head->fields);
     result.may_have_run = !said.is_not_run;
     if (said.is_not_run) {
         ++refusals_;
@@ -237,7 +237,7 @@
     result.is_failure = is_error;
     result.answer = http::response{
         head->status,
-        context_.words.returned_fields(head->fields),
+        context_.codec.returned_fields(head->fields),
         std::move(*body)};
     co_return result;
 }
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -109,9 +109,9 @@
     entry_context context;
 
 private:
-    static dialect words()
+    static codec_functions words()
     {
-        dialect made{};
+        codec_functions made{};
         made.write_copy_request = &broken_copy_order;
         return made;
     }
--- a/tests/entry/report_poller_test.cpp
+++ b/tests/entry/report_poller_test.cpp
@@ -51,7 +51,7 @@
     {
         const placement::server_id id("i-1");
         boost::asio::io_context io{1};
-        dialect words{};
+        codec_functions words{};
         words.write_report_request = &broken_question;
         entry_context context(
             io.get_executor(),
--- a/tests/platform_adapter/world.cpp
+++ b/tests/platform_adapter/world.cpp
@@ -100,7 +100,9 @@
         entry::entry_settings settings = settings_on_free_ports();
         settings.seeds = seeds;
         auto made = entry::entry_process::create(
-            context, std::move(settings), entry::dialect::of<request_codec>());
+            context,
+            std::move(settings),
+            entry::codec_functions::of<request_codec>());
         if (made)
             return std::move(*made);
         CPPUNIT_ASSERT_MESSAGE(made.error().to_string(), tries < most_tries);
