--- a/services/entry/include/godwit/entry/call_answers.hpp
+++ b/services/entry/include/godwit/entry/call_answers.hpp
@@ -2,10 +2,10 @@
 
 #include <godwit/admission/request_fingerprint.hpp>
 #include <godwit/core/time.hpp>
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/forwarding_metadata.hpp>
 #include <godwit/entry/refusal.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/http/request.hpp>
 #include <godwit/telemetry/request_metrics.hpp>
 
@@ -17,17 +17,17 @@
 /// organisation are filled in; `terms` brings the rest.
 [[nodiscard]] http::request forwarded_request(
     const entry_context& context,
-    const accepted_call& call,
+    const routed_call& call,
     forwarding_metadata terms);
 
 /// The fingerprint of the request as received from the caller.
 [[nodiscard]] admission::request_fingerprint
-fingerprint_of(const accepted_call& call);
+fingerprint_of(const routed_call& call);
 
 /// Answers the call from this host: logged, counted, and with when to come
 /// back where it has not run. The arguments live until it is done.
 boost::asio::awaitable<void> refuse_call(
-    const accepted_call& call,
+    const routed_call& call,
     telemetry::request_metrics& metrics,
     refusal_reason reason,
     core::duration come_back_after);
--- a/services/entry/include/godwit/entry/call_log.hpp
+++ b/services/entry/include/godwit/entry/call_log.hpp
@@ -4,8 +4,8 @@
 #include <godwit/admission/wait_policy.hpp>
 #include <godwit/core/error.hpp>
 #include <godwit/core/time.hpp>
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/refusal.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/http/request.hpp>
 #include <godwit/placement/backend_server.hpp>
 #include <godwit/placement/placer.hpp>
@@ -35,20 +35,20 @@
 
 /// A request goes to a backend server, chosen by its load as it was known.
 void log_placed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::placement_choice& choice,
     admission::wait_stage stage);
 
 /// A backend server kept no room for a request.
 void log_hold_failed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens,
     std::string_view cause);
 
 /// A send to a backend server failed, or was turned away.
 void log_send_failed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::string_view fault,
     std::string_view cause);
@@ -57,7 +57,7 @@
 /// `fingerprint` is the same for all attempts at a request; `server_leaves`
 /// tells whether the server was already known to be leaving.
 void log_run_lost(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     const admission::request_fingerprint& fingerprint,
     bool server_leaves);
@@ -72,7 +72,7 @@
 
 /// Logs that a quarantined request is sent as a trial.
 void log_trial(
-    const accepted_call& call, const admission::request_fingerprint& request);
+    const routed_call& call, const admission::request_fingerprint& request);
 
 /// Logs that a server still answers after connections to it broke, so that its
 /// lost runs do not count as crashes.
@@ -88,7 +88,7 @@
 
 /// A stream's answer was cut midway.
 void log_cut(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::string_view cause,
     std::uint64_t last_event);
@@ -96,9 +96,7 @@
 /// The caller closed its connection before it had the whole answer. `server`
 /// is empty while the request waited for one, `last_event` 0 before a first.
 void log_caller_left(
-    const accepted_call& call,
-    std::string_view server,
-    std::uint64_t last_event);
+    const routed_call& call, std::string_view server, std::uint64_t last_event);
 
 /// Where in its stream an event stands.
 enum class event_place
@@ -109,7 +107,7 @@
 
 /// An event of a stream came later than its route aims at.
 void log_late_event(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t event,
     event_place place,
@@ -128,20 +126,20 @@
 
 /// A stream came to its end and its caller has all of it.
 void log_stream_completed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     const stream_pace& pace);
 
 /// A running generation goes to this server, for `cause`.
 void log_migration_chosen(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& source,
     const placement::placement_choice& choice,
     std::string_view cause);
 
 /// A running generation went on at another server, or could not.
 void log_migration(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& source,
     std::string_view destination,
     std::string_view verdict,
--- a/services/entry/include/godwit/entry/call_service.hpp
+++ b/services/entry/include/godwit/entry/call_service.hpp
@@ -30,7 +30,7 @@
     struct resolved_call
     {
         std::shared_ptr<const routing::route_table> routes;
-        const routing::route* via = nullptr;
+        const routing::route* route = nullptr;
         std::optional<core::organisation_name> organisation;
         int priority = 0;
     };
--- a/services/entry/include/godwit/entry/lost_runs.hpp
+++ b/services/entry/include/godwit/entry/lost_runs.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/entry/upstream.hpp>
 #include <godwit/placement/backend_server.hpp>
 
@@ -16,11 +16,11 @@
 /// crash for the request and reports it to the other hosts.
 void record_lost_run(
     entry_context& context,
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server);
 
 /// Clears the crashes recorded for the request, on this host and the others,
 /// after a run that the server survived.
-void record_completed_run(entry_context& context, const accepted_call& call);
+void record_completed_run(entry_context& context, const routed_call& call);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <godwit/core/timer.hpp>
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/migration.hpp>
 #include <godwit/entry/reservation.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/entry/upstream.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -40,7 +40,7 @@
 public:
     migrator(
         entry_context& context,
-        std::shared_ptr<const accepted_call> call,
+        std::shared_ptr<const routed_call> call,
         std::shared_ptr<upstream> source,
         placement::work_size work,
         std::uint64_t tokens_left,
@@ -108,7 +108,7 @@
     void release();
 
     entry_context& context_;
-    std::shared_ptr<const accepted_call> call_;
+    std::shared_ptr<const routed_call> call_;
     std::shared_ptr<upstream> source_;
     placement::work_size work_;
     double urgency_;
--- a/services/entry/include/godwit/entry/quarantine_gate.hpp
+++ b/services/entry/include/godwit/entry/quarantine_gate.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
+#include <godwit/entry/routed_call.hpp>
 
 namespace godwit::entry {
 
@@ -13,7 +13,7 @@
 
     /// Returns whether the call must not be sent because its request is
     /// quarantined. Once a call is permitted as a trial, it is never refused.
-    [[nodiscard]] bool refuses(const accepted_call& call);
+    [[nodiscard]] bool refuses(const routed_call& call);
 
 private:
     entry_context& context_;
--- a/services/entry/include/godwit/entry/room_search.hpp
+++ b/services/entry/include/godwit/entry/room_search.hpp
@@ -2,9 +2,9 @@
 
 #include <godwit/admission/generation_size.hpp>
 #include <godwit/admission/wait_policy.hpp>
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/reservation.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/entry/waiting_line.hpp>
 #include <godwit/placement/backend_server.hpp>
 #include <godwit/placement/work_size.hpp>
@@ -34,7 +34,7 @@
 {
 public:
     room_search(
-        entry_context& context, std::shared_ptr<const accepted_call> call);
+        entry_context& context, std::shared_ptr<const routed_call> call);
 
     room_search(const room_search&) = delete;
     room_search& operator=(const room_search&) = delete;
@@ -64,7 +64,7 @@
     wanted(admission::wait_stage stage) const;
 
     entry_context& context_;
-    std::shared_ptr<const accepted_call> call_;
+    std::shared_ptr<const routed_call> call_;
     admission::wait_policy plan_;
     std::optional<admission::generation_size> size_;
     std::vector<placement::server_id> excluded_;
@@ -73,6 +73,6 @@
 };
 
 /// Whether the service's servers keep room for requests that come next.
-[[nodiscard]] bool can_hold(const accepted_call& call);
+[[nodiscard]] bool can_hold(const routed_call& call);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/accepted_call.hpp
+++ b/services/entry/include/godwit/entry/routed_call.hpp
@@ -13,19 +13,19 @@
 
 /// A request that has a route and may be served. It lives as long as its
 /// exchange.
-struct accepted_call
+struct routed_call
 {
-    http::exchange& caller;
+    http::exchange& exchange;
     request_metadata metadata;
-    /// Keeps `via` and `target` alive across changes.
+    /// Keeps `route` and `target` alive across changes.
     std::shared_ptr<const routing::route_table> routes;
-    const routing::route& via;
-    const routing::service& target;
+    const routing::route& route;
+    const routing::service& service;
     std::optional<core::organisation_name> organisation;
     int priority = 0; ///< 0 is the most urgent.
-    core::time_point arrived;
+    core::time_point arrival_time;
     /// The caller's deadline or the route's timeout, whichever is first.
-    core::time_point ends;
+    core::time_point deadline;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/server_hold.hpp
+++ b/services/entry/include/godwit/entry/server_hold.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/hold.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/placement/backend_server.hpp>
 
 #include <boost/asio/awaitable.hpp>
@@ -16,7 +16,7 @@
 /// arguments live until it is done.
 boost::asio::awaitable<hold_response> acquire_hold(
     entry_context& context,
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens);
 
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -1,6 +1,5 @@
 #pragma once
 
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/call_log.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/event_splitter.hpp>
@@ -9,6 +8,7 @@
 #include <godwit/entry/refusal.hpp>
 #include <godwit/entry/reservation.hpp>
 #include <godwit/entry/room_search.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/entry/running_stream.hpp>
 #include <godwit/entry/upstream.hpp>
 #include <godwit/placement/event_gap_tracker.hpp>
@@ -31,7 +31,7 @@
                     public std::enable_shared_from_this<stream_call>
 {
 public:
-    stream_call(entry_context& context, accepted_call call);
+    stream_call(entry_context& context, routed_call call);
     ~stream_call() override;
 
     stream_call(const stream_call&) = delete;
@@ -80,7 +80,7 @@
     void cut(std::string_view cause);
 
     entry_context& context_;
-    std::shared_ptr<const accepted_call> call_;
+    std::shared_ptr<const routed_call> call_;
     std::shared_ptr<upstream> active_;
     quarantine_gate gate_;
     room_search search_;
--- a/services/entry/include/godwit/entry/whole_call.hpp
+++ b/services/entry/include/godwit/entry/whole_call.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include <godwit/entry/accepted_call.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/quarantine_gate.hpp>
 #include <godwit/entry/refusal.hpp>
+#include <godwit/entry/routed_call.hpp>
 #include <godwit/entry/upstream.hpp>
 #include <godwit/telemetry/request_metrics.hpp>
 
@@ -20,7 +20,7 @@
 class whole_call : public std::enable_shared_from_this<whole_call>
 {
 public:
-    whole_call(entry_context& context, accepted_call call);
+    whole_call(entry_context& context, routed_call call);
 
     boost::asio::awaitable<void> run();
 
@@ -49,7 +49,7 @@
     void caller_left();
 
     entry_context& context_;
-    accepted_call call_;
+    routed_call call_;
     quarantine_gate gate_;
     unsigned runs_ = 0; ///< Servers that may have run the request.
     unsigned refusals_ = 0;
--- a/services/entry/src/call_answers.cpp
+++ b/services/entry/src/call_answers.cpp
@@ -10,12 +10,12 @@
 
 http::request forwarded_request(
     const entry_context& context,
-    const accepted_call& call,
+    const routed_call& call,
     forwarding_metadata terms)
 {
-    const http::request& received = call.caller.received();
+    const http::request& received = call.exchange.received();
     terms.time_left = std::max(
-        call.ends - core::monotonic_now(),
+        call.deadline - core::monotonic_now(),
         core::duration(std::chrono::milliseconds(1)));
     terms.organisation = call.organisation;
     return http::request{
@@ -25,9 +25,9 @@
         received.body};
 }
 
-admission::request_fingerprint fingerprint_of(const accepted_call& call)
+admission::request_fingerprint fingerprint_of(const routed_call& call)
 {
-    const http::request& received = call.caller.received();
+    const http::request& received = call.exchange.received();
     return admission::fingerprint_of(
         {call.organisation.value_or(core::organisation_name()),
          received.method,
@@ -37,7 +37,7 @@
 }
 
 boost::asio::awaitable<void> refuse_call(
-    const accepted_call& call,
+    const routed_call& call,
     telemetry::request_metrics& metrics,
     refusal_reason reason,
     core::duration come_back_after)
@@ -45,10 +45,10 @@
     const core::time_point now = core::monotonic_now();
     log_refused(
         call.metadata.attempt_id,
-        call.via.name,
+        call.route.name,
         reason,
         call.routes->version(),
-        now - call.arrived);
+        now - call.arrival_time);
     metrics.finished(outcome_of(reason), now);
     const bool can_come_back = outcome_of(reason) == core::outcome::not_run &&
                                reason != refusal_reason::quarantined;
@@ -58,7 +58,7 @@
                       : std::nullopt);
     // A caller that is gone needs no answer.
     [[maybe_unused]] const auto sent =
-        co_await call.caller.respond(std::move(answer));
+        co_await call.exchange.respond(std::move(answer));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/call_log.cpp
+++ b/services/entry/src/call_log.cpp
@@ -59,7 +59,7 @@
 }
 
 void log_placed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::placement_choice& choice,
     admission::wait_stage stage)
 {
@@ -68,7 +68,7 @@
         component,
         "placed",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", choice.server.id},
          {"server_zone", choice.server.zone},
          {"server_requests", choice.load.requests},
@@ -77,11 +77,12 @@
          {"cost", choice.cost},
          {"stage", admission::to_string(stage)},
          {"table_version", call.routes->version()},
-         {"waited_ms", milliseconds(core::monotonic_now() - call.arrived)}});
+         {"waited_ms",
+          milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
 void log_hold_failed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens,
     std::string_view cause)
@@ -91,15 +92,15 @@
         component,
         "hold_failed",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", server.id},
          {"tokens", tokens},
          {"cause", cause},
-         {"age_ms", milliseconds(core::monotonic_now() - call.arrived)}});
+         {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
 void log_send_failed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::string_view fault,
     std::string_view cause)
@@ -109,16 +110,16 @@
         component,
         "send_failed",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", server.id},
          {"fault", fault},
          {"cause", cause},
          {"table_version", call.routes->version()},
-         {"age_ms", milliseconds(core::monotonic_now() - call.arrived)}});
+         {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
 void log_run_lost(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     const admission::request_fingerprint& fingerprint,
     bool server_leaves)
@@ -128,12 +129,12 @@
         component,
         "run_lost",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"fingerprint", fingerprint},
          {"server", server.id},
          {"server_start_ms", server.start.unix_ms},
          {"server_leaves", server_leaves},
-         {"age_ms", milliseconds(core::monotonic_now() - call.arrived)}});
+         {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
 void log_crash_count(
@@ -153,14 +154,14 @@
 }
 
 void log_trial(
-    const accepted_call& call, const admission::request_fingerprint& request)
+    const routed_call& call, const admission::request_fingerprint& request)
 {
     telemetry::log_event(
         telemetry::log_level::info,
         component,
         "quarantine_trial",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"fingerprint", request}});
 }
 
@@ -199,7 +200,7 @@
 }
 
 void log_cut(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::string_view cause,
     std::uint64_t last_event)
@@ -209,17 +210,15 @@
         component,
         "cut",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", server.id},
          {"cause", cause},
          {"last_event", last_event},
-         {"age_ms", milliseconds(core::monotonic_now() - call.arrived)}});
+         {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
 void log_caller_left(
-    const accepted_call& call,
-    std::string_view server,
-    std::uint64_t last_event)
+    const routed_call& call, std::string_view server, std::uint64_t last_event)
 {
     const core::time_point now = core::monotonic_now();
     telemetry::log_event(
@@ -227,16 +226,16 @@
         component,
         "caller_left",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", server},
          {"last_event", last_event},
-         {"cause", call.caller.gone_cause()},
-         {"left_ms", milliseconds(call.ends - now)},
-         {"age_ms", milliseconds(now - call.arrived)}});
+         {"cause", call.exchange.gone_cause()},
+         {"left_ms", milliseconds(call.deadline - now)},
+         {"age_ms", milliseconds(now - call.arrival_time)}});
 }
 
 void log_late_event(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t event,
     event_place place,
@@ -248,7 +247,7 @@
         component,
         "late_event",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", server.id},
          {"event_id", event},
          {"first", place == event_place::first},
@@ -257,7 +256,7 @@
 }
 
 void log_stream_completed(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     const stream_pace& pace)
 {
@@ -266,16 +265,16 @@
         component,
         "stream_completed",
         {{"request", call.metadata.attempt_id},
-         {"route", call.via.name},
+         {"route", call.route.name},
          {"server", server.id},
          {"events", pace.events},
          {"first_ms", milliseconds(pace.first.value_or(core::duration()))},
          {"longest_pause_ms", milliseconds(pace.longest_pause)},
-         {"age_ms", milliseconds(core::monotonic_now() - call.arrived)}});
+         {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
 void log_migration_chosen(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& source,
     const placement::placement_choice& choice,
     std::string_view cause)
@@ -296,7 +295,7 @@
 }
 
 void log_migration(
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& source,
     std::string_view destination,
     std::string_view verdict,
--- a/services/entry/src/call_service.cpp
+++ b/services/entry/src/call_service.cpp
@@ -42,22 +42,22 @@
 // same attempt always goes the same way.
 const routing::service* pick_service(
     const routing::route_table& routes,
-    const routing::route& via,
+    const routing::route& route,
     std::string_view attempt_id)
 {
     double sum = 0;
-    for (const routing::weighted_service& one : via.services)
+    for (const routing::weighted_service& one : route.services)
         sum += one.weight;
     constexpr auto most =
         static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     double point =
         sum * static_cast<double>(core::stable_hash(attempt_id)) / most;
-    for (const routing::weighted_service& one : via.services) {
+    for (const routing::weighted_service& one : route.services) {
         point -= one.weight;
         if (point <= 0)
             return routes.find_service(one.service);
     }
-    return routes.find_service(via.services.back().service);
+    return routes.find_service(route.services.back().service);
 }
 
 } // namespace
@@ -80,22 +80,22 @@
         co_await refuse(caller, terms.attempt_id, found.error());
         co_return;
     }
-    const routing::route& via = *found->via;
+    const routing::route& route = *found->route;
     const routing::service* target =
-        pick_service(*found->routes, via, terms.attempt_id);
+        pick_service(*found->routes, route, terms.attempt_id);
     const core::duration span =
-        std::min(terms.time_left.value_or(via.timeout), via.timeout);
-    accepted_call call{
+        std::min(terms.time_left.value_or(route.timeout), route.timeout);
+    routed_call call{
         caller,
         std::move(terms),
         found->routes,
-        via,
+        route,
         *target,
         std::move(found->organisation),
         found->priority,
         arrived,
         arrived + span};
-    if (via.mode == routing::response_mode::event_stream) {
+    if (route.mode == routing::response_mode::event_stream) {
         const auto stream =
             std::make_shared<stream_call>(context_, std::move(call));
         co_await stream->run();
@@ -113,19 +113,19 @@
     if (!routes)
         return tl::unexpected(unrouted_call{refusal_reason::no_routes, ""});
     const auto host = received.fields.find("Host").value_or("");
-    const routing::route* via =
+    const routing::route* route =
         routes->find_route(host, path_of(received.target));
-    if (via == nullptr)
+    if (route == nullptr)
         return tl::unexpected(unrouted_call{refusal_reason::no_such_route, ""});
-    resolved_call found{routes, via, std::nullopt, via->priority};
-    if (!routes->has_organisations() || via->is_public)
+    resolved_call found{routes, route, std::nullopt, route->priority};
+    if (!routes->has_organisations() || route->is_public)
         return found;
     const routing::organisation* holder = routes->find_organisation(terms.key);
     if (holder == nullptr)
         return tl::unexpected(
-            unrouted_call{refusal_reason::unknown_key, via->name});
+            unrouted_call{refusal_reason::unknown_key, route->name});
     found.organisation = holder->name;
-    found.priority = holder->priority.value_or(via->priority);
+    found.priority = holder->priority.value_or(route->priority);
     return found;
 }
 
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -121,7 +121,7 @@
 
 void record_lost_run(
     entry_context& context,
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server)
 {
     const admission::request_fingerprint request = fingerprint_of(call);
@@ -133,13 +133,13 @@
     confirm_crash(
         context,
         server,
-        call.target.engine.has_value(),
+        call.service.engine.has_value(),
         {request,
          call.organisation.value_or(core::organisation_name()),
          {{server.id, server.start, core::monotonic_now()}}});
 }
 
-void record_completed_run(entry_context& context, const accepted_call& call)
+void record_completed_run(entry_context& context, const routed_call& call)
 {
     if (!context.quarantine.is_tracking())
         return;
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -58,7 +58,7 @@
 
 migrator::migrator(
     entry_context& context,
-    std::shared_ptr<const accepted_call> call,
+    std::shared_ptr<const routed_call> call,
     std::shared_ptr<upstream> source,
     placement::work_size work,
     std::uint64_t tokens_left,
@@ -192,9 +192,9 @@
 {
     if (!has_to_leave())
         return placement::zone_rebalancer(context_.settings.zone)
-            .make_request(call_->target, work_);
+            .make_request(call_->service, work_);
     placement::placement_request wanted;
-    wanted.service = &call_->target;
+    wanted.service = &call_->service;
     wanted.work = work_;
     wanted.purpose = placement::placement_purpose::migration;
     // A copy takes twice as long to another zone.
--- a/services/entry/src/quarantine_gate.cpp
+++ b/services/entry/src/quarantine_gate.cpp
@@ -5,7 +5,7 @@
 
 namespace godwit::entry {
 
-bool quarantine_gate::refuses(const accepted_call& call)
+bool quarantine_gate::refuses(const routed_call& call)
 {
     if (is_trial_ || context_.quarantine.empty())
         return false;
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/room_search.cpp
@@ -22,19 +22,19 @@
 
 } // namespace
 
-bool can_hold(const accepted_call& call)
+bool can_hold(const routed_call& call)
 {
-    return call.target.engine &&
-           call.target.engine->max_hold > core::duration();
+    return call.service.engine &&
+           call.service.engine->max_hold > core::duration();
 }
 
 room_search::room_search(
-    entry_context& context, std::shared_ptr<const accepted_call> call)
+    entry_context& context, std::shared_ptr<const routed_call> call)
     : context_(context), call_(std::move(call)),
       plan_(admission::wait_policy::create(
-          {call_->arrived,
-           call_->ends,
-           call_->via.latency_objective,
+          {call_->arrival_time,
+           call_->deadline,
+           call_->route.latency_objective,
            call_->priority})),
       size_(size_of(call_->metadata))
 {}
@@ -75,7 +75,7 @@
 placement::placement_request room_search::wanted(wait_stage stage) const
 {
     placement::placement_request wanted =
-        admission::make_placement_request(call_->target, size_, plan_, stage);
+        admission::make_placement_request(call_->service, size_, plan_, stage);
     wanted.preferred_zone = context_.settings.zone;
     wanted.excluded = excluded_;
     return wanted;
--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -25,14 +25,14 @@
 
 asio::awaitable<hold_response> acquire_hold(
     entry_context& context,
-    const accepted_call& call,
+    const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens)
 {
     const hold_request order{
-        tokens, std::min(hold_span, call.target.engine->max_hold)};
+        tokens, std::min(hold_span, call.service.engine->max_hold)};
     http::request outgoing = context.codec.write_hold_request(order);
-    const core::duration left = call.ends - core::monotonic_now();
+    const core::duration left = call.deadline - core::monotonic_now();
     const http::fetch_limits limits{.deadline = std::min(answer_limit, left)};
     const auto answered = co_await http::fetch(
         *context.connections, server.address, std::move(outgoing), limits);
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -23,16 +23,16 @@
 
 } // namespace
 
-stream_call::stream_call(entry_context& context, accepted_call call)
+stream_call::stream_call(entry_context& context, routed_call call)
     : context_(context),
-      call_(std::make_shared<const accepted_call>(std::move(call))),
+      call_(std::make_shared<const routed_call>(std::move(call))),
       gate_(context), search_(context, call_),
       rebalancing_(context.settings.zone),
       metrics_(
           *context.metrics,
-          call_->target.name,
-          core::class_name(call_->via.name),
-          call_->arrived)
+          call_->service.name,
+          core::class_name(call_->route.name),
+          call_->arrival_time)
 {}
 
 stream_call::~stream_call()
@@ -42,11 +42,11 @@
 
 asio::awaitable<void> stream_call::run()
 {
-    call_->caller.on_caller_gone([weak = weak_from_this()] {
+    call_->exchange.on_caller_gone([weak = weak_from_this()] {
         if (const auto kept = weak.lock())
             kept->caller_left();
     });
-    context_.budgets.first_attempt(call_->target.name, call_->arrived);
+    context_.budgets.first_attempt(call_->service.name, call_->arrival_time);
     co_await start();
     leave_server();
 }
@@ -74,7 +74,7 @@
     // Where room was kept the order is settled. An urgent request would stop
     // the newest of the others when memory ends, to be read again: three
     // times as many prompts were read in vain.
-    if (call_->target.engine && !can_hold(*call_))
+    if (call_->service.engine && !can_hold(*call_))
         terms.priority = call_->priority;
     if (!resume_from)
         terms.hold = hold_;
@@ -107,12 +107,13 @@
             co_await relay(std::move(*head));
             co_return true;
         }
-        if (caller_gone_ || call_->caller.is_answered())
+        if (caller_gone_ || call_->exchange.is_answered())
             co_return false;
         const core::time_point now = core::monotonic_now();
-        const bool may_go_on = refusals_ < most_refusals &&
-                               (refusals_ == 0 || context_.budgets.try_spend(
-                                                      call_->target.name, now));
+        const bool may_go_on =
+            refusals_ < most_refusals &&
+            (refusals_ == 0 ||
+             context_.budgets.try_spend(call_->service.name, now));
         if (!may_go_on) {
             co_await refuse(refusal_reason::servers_refused);
             co_return false;
@@ -134,11 +135,11 @@
 {
     sent_at_ = core::monotonic_now();
     adopt(std::make_shared<upstream>(
-        context_, server, call_->via.latency_objective));
+        context_, server, call_->route.latency_objective));
     http::request outgoing = request_for(server.id, std::nullopt);
     const std::string attempt_id = call_->metadata.attempt_id;
-    auto head =
-        co_await active_->begin(std::move(outgoing), attempt_id, call_->ends);
+    auto head = co_await active_->begin(
+        std::move(outgoing), attempt_id, call_->deadline);
     const bool was_handed_over =
         head || head.error().fault != upstream_fault::unreachable;
     if (was_handed_over)
@@ -212,7 +213,7 @@
 
 asio::awaitable<void> stream_call::pass_on_failure(http::response_head head)
 {
-    auto body = co_await active_->read_all(call_->ends);
+    auto body = co_await active_->read_all(call_->deadline);
     if (caller_gone_)
         co_return;
     if (!body) {
@@ -228,7 +229,7 @@
         context_.codec.returned_fields(head.fields),
         std::move(*body)};
     [[maybe_unused]] const auto sent =
-        co_await call_->caller.respond(std::move(answer));
+        co_await call_->exchange.respond(std::move(answer));
 }
 
 core::duration stream_call::silence(core::time_point now) const
@@ -236,18 +237,18 @@
     if (last_relayed_)
         return now - *last_relayed_;
     // A prompt takes its time to be read.
-    const core::duration due = call_->via.latency_objective;
+    const core::duration due = call_->route.latency_objective;
     return std::max(now - sent_at_ - due, core::duration::zero());
 }
 
 asio::awaitable<void> stream_call::relay(http::response_head head)
 {
-    auto begun = co_await call_->caller.start_stream(
+    auto begun = co_await call_->exchange.start_stream(
         head.status, context_.codec.returned_fields(head.fields));
     if (!begun)
         co_return;
     while (!caller_gone_) {
-        auto piece = co_await active_->read_some(call_->ends);
+        auto piece = co_await active_->read_some(call_->deadline);
         if (caller_gone_)
             co_return;
         if (piece && piece->has_value()) {
@@ -264,7 +265,7 @@
             metrics_.finished(core::outcome::completed, core::monotonic_now());
             log_stream_completed(*call_, active_->server(), pace_);
             [[maybe_unused]] const auto ended =
-                co_await call_->caller.finish_stream();
+                co_await call_->exchange.finish_stream();
             co_return;
         }
         const auto next_head = co_await go_on_elsewhere();
@@ -314,7 +315,7 @@
 asio::awaitable<bool> stream_call::pass_on(std::string ready)
 {
     const core::time_point before = core::monotonic_now();
-    const auto written = co_await call_->caller.write_chunk(std::move(ready));
+    const auto written = co_await call_->exchange.write_chunk(std::move(ready));
     if (!written)
         active_->cancel();
     if (core::monotonic_now() - before > prompt_write)
@@ -326,9 +327,10 @@
 {
     const core::time_point now = core::monotonic_now();
     const bool is_first = !last_relayed_;
-    const core::duration pause = now - last_relayed_.value_or(call_->arrived);
+    const core::duration pause =
+        now - last_relayed_.value_or(call_->arrival_time);
     const core::duration objective =
-        is_first ? call_->via.latency_objective : call_->via.gap_objective;
+        is_first ? call_->route.latency_objective : call_->route.gap_objective;
     if (is_first)
         pace_.first = pause;
     else
@@ -351,7 +353,7 @@
     log_cut(*call_, active_->server(), cause, last_event_);
     active_->cancel();
     stop_migration();
-    call_->caller.cut();
+    call_->exchange.cut();
 }
 
 asio::awaitable<void> stream_call::refuse(refusal_reason reason)
--- a/services/entry/src/stream_call_moves.cpp
+++ b/services/entry/src/stream_call_moves.cpp
@@ -20,13 +20,13 @@
 {
     return admission::generation_size::create(
         *call_->metadata.generation,
-        pace_.events * call_->target.engine->tokens_per_event);
+        pace_.events * call_->service.engine->tokens_per_event);
 }
 
 // A run that moves brings its memory along: there is nothing to read.
 placement::work_size stream_call::moved_work() const
 {
-    if (!call_->metadata.generation || !call_->target.engine)
+    if (!call_->metadata.generation || !call_->service.engine)
         return placement::work_size{.requests = 1};
     return size().migrated_work();
 }
@@ -35,7 +35,7 @@
 std::uint64_t stream_call::tokens_left() const
 {
     if (pace_.events == 0 || !call_->metadata.generation ||
-        !call_->target.engine)
+        !call_->service.engine)
         return 0;
     return size().tokens_left();
 }
@@ -93,7 +93,7 @@
 void stream_call::migrate(migration_cause cause)
 {
     const bool can_move =
-        call_->target.engine && call_->target.engine->can_migrate;
+        call_->service.engine && call_->service.engine->can_migrate;
     if (!can_move || migration_ || caller_gone_)
         return;
     migration_ = std::make_shared<migrator>(
@@ -103,7 +103,7 @@
 
 void stream_call::consider_rebalancing()
 {
-    if (!call_->metadata.generation || !call_->target.engine)
+    if (!call_->metadata.generation || !call_->service.engine)
         return;
     const core::time_point now = core::monotonic_now();
     if (!rebalancing_.may_attempt(active_->server().zone, now))
@@ -112,12 +112,12 @@
         active_->server(),
         moved_work(),
         tokens_left(),
-        context_.directory.last_departure(call_->target.name)};
+        context_.directory.last_departure(call_->service.name)};
     if (!rebalancing_.is_due(run, now))
         return;
     rebalancing_.record_attempt(now);
     forget_failed_migration();
-    const auto wanted = rebalancing_.make_request(call_->target, run.work);
+    const auto wanted = rebalancing_.make_request(call_->service, run.work);
     if (context_.chooser.choose(wanted, now))
         migrate(migration_cause::rebalance);
 }
@@ -142,7 +142,7 @@
     const placement::backend_server source = active_->server();
     resume_point resume_from{source.address, moved.handle, last_event_};
     auto next = std::make_shared<upstream>(
-        context_, moved.destination, call_->via.latency_objective);
+        context_, moved.destination, call_->route.latency_objective);
     http::request outgoing =
         request_for(moved.destination.id, std::move(resume_from));
     reserved_.reset();
@@ -154,7 +154,7 @@
     rhythm_ = placement::event_gap_tracker();
     const std::string attempt_id = call_->metadata.attempt_id;
     auto head =
-        co_await next->begin(std::move(outgoing), attempt_id, call_->ends);
+        co_await next->begin(std::move(outgoing), attempt_id, call_->deadline);
     const bool runs = head && head->status < first_failure;
     std::string verdict = "resumed";
     if (!head)
@@ -165,8 +165,8 @@
         ->counter(
             "godwit_migrations_total",
             "Running generations that went on at another server.",
-            {call_->target.name,
-             core::class_name(call_->via.name),
+            {call_->service.name,
+             core::class_name(call_->route.name),
              runs ? core::outcome::completed : core::outcome::interrupted})
         .Increment();
     log_migration(
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/whole_call.cpp
@@ -42,22 +42,22 @@
 
 } // namespace
 
-whole_call::whole_call(entry_context& context, accepted_call call)
+whole_call::whole_call(entry_context& context, routed_call call)
     : context_(context), call_(std::move(call)), gate_(context),
       metrics_(
           *context.metrics,
-          call_.target.name,
-          core::class_name(call_.via.name),
-          call_.arrived)
+          call_.service.name,
+          core::class_name(call_.route.name),
+          call_.arrival_time)
 {}
 
 asio::awaitable<void> whole_call::run()
 {
-    call_.caller.on_caller_gone([weak = weak_from_this()] {
+    call_.exchange.on_caller_gone([weak = weak_from_this()] {
         if (const auto kept = weak.lock())
             kept->caller_left();
     });
-    context_.budgets.first_attempt(call_.target.name, call_.arrived);
+    context_.budgets.first_attempt(call_.service.name, call_.arrival_time);
     attempt_result last;
     last.refusal = refusal_reason::no_server;
     last.may_have_run = false;
@@ -113,7 +113,7 @@
 {
     core::duration shortest = core::duration::max();
     for (const placement::backend_server* server :
-         context_.directory.usable(call_.target.name)) {
+         context_.directory.usable(call_.service.name)) {
         if (std::find(tried_.begin(), tried_.end(), server->id) == tried_.end())
             shortest =
                 std::min(shortest, context_.limits.wait_time(server->id, now));
@@ -125,13 +125,14 @@
 {
     limit_wait_ = core::duration();
     placement::placement_request wanted;
-    wanted.service = &call_.target;
+    wanted.service = &call_.service;
     wanted.work.requests = 1;
     wanted.preferred_zone = context_.settings.zone;
     wanted.excluded = tried_;
     const auto longest = std::chrono::duration_cast<core::duration>(
-        call_.via.latency_objective * longest_wait_share);
-    const core::time_point end = std::min(call_.arrived + longest, call_.ends);
+        call_.route.latency_objective * longest_wait_share);
+    const core::time_point end =
+        std::min(call_.arrival_time + longest, call_.deadline);
     while (!caller_gone_) {
         const core::time_point now = core::monotonic_now();
         const auto found = context_.chooser.choose(wanted, now);
@@ -158,13 +159,13 @@
 core::time_point whole_call::attempt_end(core::time_point now)
 {
     const bool may_run_again =
-        call_.via.retries == routing::retry_semantics::idempotent &&
-        runs_ + 1 < call_.via.max_attempts;
+        call_.route.retries == routing::retry_semantics::idempotent &&
+        runs_ + 1 < call_.route.max_attempts;
     if (!may_run_again)
-        return call_.ends;
+        return call_.deadline;
     const core::duration patience = std::max<core::duration>(
-        call_.via.latency_objective * patience_objectives, shortest_patience);
-    return std::min(now + patience, call_.ends);
+        call_.route.latency_objective * patience_objectives, shortest_patience);
+    return std::min(now + patience, call_.deadline);
 }
 
 asio::awaitable<whole_call::attempt_result>
@@ -175,7 +176,7 @@
     const reservation reserved(context_, server.id, work);
     tried_.push_back(server.id);
     const auto exchange = std::make_shared<upstream>(
-        context_, server, call_.via.latency_objective);
+        context_, server, call_.route.latency_objective);
     active_ = exchange;
     const core::time_point end = attempt_end(core::monotonic_now());
 
@@ -203,7 +204,7 @@
         result.refusal = refusal_reason::answer_lost;
         if (!result.may_have_run)
             result.refusal = refusal_reason::no_server;
-        else if (now >= call_.ends)
+        else if (now >= call_.deadline)
             result.refusal = refusal_reason::out_of_time;
         runs_ += result.may_have_run ? 1 : 0;
         co_return result;
@@ -244,15 +245,15 @@
 
 bool whole_call::may_repeat(core::time_point now)
 {
-    if (now >= call_.ends || refusals_ >= most_refusals)
+    if (now >= call_.deadline || refusals_ >= most_refusals)
         return false;
     if (runs_ > 0 &&
-        (call_.via.retries != routing::retry_semantics::idempotent ||
-         runs_ >= call_.via.max_attempts))
+        (call_.route.retries != routing::retry_semantics::idempotent ||
+         runs_ >= call_.route.max_attempts))
         return false;
     const bool was_handed_over = runs_ + refusals_ > 0;
     return !was_handed_over ||
-           context_.budgets.try_spend(call_.target.name, now);
+           context_.budgets.try_spend(call_.service.name, now);
 }
 
 asio::awaitable<void> whole_call::deliver(attempt_result result)
@@ -267,7 +268,7 @@
     // A caller that is gone meanwhile has no use for the answer, and says so
     // by its closed connection.
     [[maybe_unused]] const auto sent =
-        co_await call_.caller.respond(std::move(*result.answer));
+        co_await call_.exchange.respond(std::move(*result.answer));
 }
 
 asio::awaitable<void> whole_call::refuse(refusal_reason reason)
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -121,13 +121,13 @@
     {
         service_.name = core::service_name("lm");
         service_.engine = routing::engine_profile{4, 10000, 1, 1000.0, 1, true};
-        call_ = std::make_shared<const accepted_call>(accepted_call{
+        call_ = std::make_shared<const routed_call>(routed_call{
             asked, {}, nullptr, route_, service_, std::nullopt, 0, {}, {}});
     }
 
     routing::route route_;
     routing::service service_;
-    std::shared_ptr<const accepted_call> call_;
+    std::shared_ptr<const routed_call> call_;
 };
 
 class migrator_test : public CppUnit::TestFixture
