--- a/services/entry/include/godwit/entry/whole_call.hpp
+++ b/services/entry/include/godwit/entry/buffered_call.hpp
@@ -17,10 +17,10 @@
 
 /// Serves a request whose answer is delivered whole: sends it, sends it once
 /// more where that is allowed and can help, and delivers one answer.
-class whole_call : public std::enable_shared_from_this<whole_call>
+class buffered_call : public std::enable_shared_from_this<buffered_call>
 {
 public:
-    whole_call(entry_context& context, routed_call call);
+    buffered_call(entry_context& context, routed_call call);
 
     boost::asio::awaitable<void> run();
 
--- a/services/entry/include/godwit/entry/call_service.hpp
+++ b/services/entry/include/godwit/entry/call_dispatcher.hpp
@@ -17,10 +17,10 @@
 namespace godwit::entry {
 
 /// Finds the route and the organisation of each request and has it served.
-class call_service
+class call_dispatcher
 {
 public:
-    explicit call_service(entry_context& context) : context_(context) {}
+    explicit call_dispatcher(entry_context& context) : context_(context) {}
 
     /// Serves one exchange to its end.
     boost::asio::awaitable<void> serve(http::exchange& caller);
--- a/services/entry/include/godwit/entry/call_log.hpp
+++ b/services/entry/include/godwit/entry/call_log.hpp
@@ -99,7 +99,7 @@
     const routed_call& call, std::string_view server, std::uint64_t last_event);
 
 /// Where in its stream an event stands.
-enum class event_place
+enum class event_position
 {
     first,
     later,
@@ -110,25 +110,26 @@
     const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t event,
-    event_place place,
+    event_position place,
     core::duration pause,
     core::duration objective);
 
 /// How fast a stream came to its caller.
-struct stream_pace
+struct stream_timing
 {
     std::optional<core::duration> first; ///< From the call to its first event.
     core::duration longest_pause{};      ///< Between two later events.
     std::uint64_t events = 0;
 
-    friend bool operator==(const stream_pace&, const stream_pace&) = default;
+    friend bool
+    operator==(const stream_timing&, const stream_timing&) = default;
 };
 
 /// A stream came to its end and its caller has all of it.
 void log_stream_completed(
     const routed_call& call,
     const placement::backend_server& server,
-    const stream_pace& pace);
+    const stream_timing& pace);
 
 /// A running generation goes to this server, for `cause`.
 void log_migration_chosen(
--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -2,7 +2,7 @@
 
 #include <godwit/core/result.hpp>
 #include <godwit/core/timer.hpp>
-#include <godwit/entry/call_service.hpp>
+#include <godwit/entry/call_dispatcher.hpp>
 #include <godwit/entry/cell_report.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/entry_settings.hpp>
@@ -246,7 +246,7 @@
 
     boost::asio::io_context& io_;
     entry_context context_;
-    call_service calls_;
+    call_dispatcher calls_;
     std::unique_ptr<http::server> callers_;
     std::unique_ptr<http::server> readiness_;
     std::unique_ptr<http::server> operators_;
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -90,7 +90,7 @@
     placement::zone_rebalancer rebalancing_;
     event_splitter splitter_;
     std::uint64_t last_event_ = 0;
-    stream_pace pace_;
+    stream_timing pace_;
     placement::event_gap_tracker rhythm_;
     core::time_point sent_at_{};
     std::optional<core::time_point> last_relayed_;
--- a/services/entry/src/whole_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -1,7 +1,7 @@
-#include <godwit/entry/whole_call.hpp>
+#include <godwit/entry/buffered_call.hpp>
 
-#include <godwit/entry/call_answers.hpp>
 #include <godwit/entry/call_log.hpp>
+#include <godwit/entry/call_messages.hpp>
 #include <godwit/entry/lost_runs.hpp>
 #include <godwit/entry/reservation.hpp>
 
@@ -42,7 +42,7 @@
 
 } // namespace
 
-whole_call::whole_call(entry_context& context, routed_call call)
+buffered_call::buffered_call(entry_context& context, routed_call call)
     : context_(context), call_(std::move(call)), gate_(context),
       metrics_(
           *context.metrics,
@@ -51,7 +51,7 @@
           call_.arrival_time)
 {}
 
-asio::awaitable<void> whole_call::run()
+asio::awaitable<void> buffered_call::run()
 {
     call_.exchange.on_caller_gone([weak = weak_from_this()] {
         if (const auto kept = weak.lock())
@@ -86,7 +86,7 @@
 
 // `quarantined` means not run, so it must not replace the result of an attempt
 // that a server may have run.
-bool whole_call::apply_quarantine(attempt_result& last)
+bool buffered_call::apply_quarantine(attempt_result& last)
 {
     if (!gate_.refuses(call_))
         return false;
@@ -95,7 +95,7 @@
     return true;
 }
 
-void whole_call::caller_left()
+void buffered_call::caller_left()
 {
     metrics_.finished(core::outcome::interrupted, core::monotonic_now());
     caller_gone_ = true;
@@ -109,7 +109,7 @@
 }
 
 // Time until the first untried server accepts another request.
-core::duration whole_call::shortest_limit_wait(core::time_point now) const
+core::duration buffered_call::shortest_limit_wait(core::time_point now) const
 {
     core::duration shortest = core::duration::max();
     for (const placement::backend_server* server :
@@ -121,7 +121,7 @@
     return shortest;
 }
 
-asio::awaitable<std::optional<placement::backend_server>> whole_call::place()
+asio::awaitable<std::optional<placement::backend_server>> buffered_call::place()
 {
     limit_wait_ = core::duration();
     placement::placement_request wanted;
@@ -156,7 +156,7 @@
     co_return std::nullopt;
 }
 
-core::time_point whole_call::attempt_end(core::time_point now)
+core::time_point buffered_call::attempt_end(core::time_point now)
 {
     const bool may_run_again =
         call_.route.retries == routing::retry_semantics::idempotent &&
@@ -168,8 +168,8 @@
     return std::min(now + patience, call_.deadline);
 }
 
-asio::awaitable<whole_call::attempt_result>
-whole_call::attempt(placement::backend_server server)
+asio::awaitable<buffered_call::attempt_result>
+buffered_call::attempt(placement::backend_server server)
 {
     placement::work_size work;
     work.requests = 1;
@@ -243,7 +243,7 @@
     co_return result;
 }
 
-bool whole_call::may_repeat(core::time_point now)
+bool buffered_call::may_repeat(core::time_point now)
 {
     if (now >= call_.deadline || refusals_ >= most_refusals)
         return false;
@@ -256,7 +256,7 @@
            context_.budgets.try_spend(call_.service.name, now);
 }
 
-asio::awaitable<void> whole_call::deliver(attempt_result result)
+asio::awaitable<void> buffered_call::deliver(attempt_result result)
 {
     if (caller_gone_)
         co_return;
@@ -271,7 +271,7 @@
         co_await call_.exchange.respond(std::move(*result.answer));
 }
 
-asio::awaitable<void> whole_call::refuse(refusal_reason reason)
+asio::awaitable<void> buffered_call::refuse(refusal_reason reason)
 {
     co_await refuse_call(
         call_, metrics_, reason, std::max(come_back_after, limit_wait_));
--- a/services/entry/src/call_service.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -1,10 +1,10 @@
-#include <godwit/entry/call_service.hpp>
+#include <godwit/entry/call_dispatcher.hpp>
 
 #include <godwit/core/hash.hpp>
+#include <godwit/entry/buffered_call.hpp>
 #include <godwit/entry/call_log.hpp>
 #include <godwit/entry/pause.hpp>
 #include <godwit/entry/stream_call.hpp>
-#include <godwit/entry/whole_call.hpp>
 
 #include <algorithm>
 #include <limits>
@@ -62,7 +62,7 @@
 
 } // namespace
 
-asio::awaitable<void> call_service::serve(http::exchange& caller)
+asio::awaitable<void> call_dispatcher::serve(http::exchange& caller)
 {
     const core::time_point arrived = core::monotonic_now();
     const http::request& received = caller.received();
@@ -101,12 +101,13 @@
         co_await stream->run();
         co_return;
     }
-    const auto whole = std::make_shared<whole_call>(context_, std::move(call));
+    const auto whole =
+        std::make_shared<buffered_call>(context_, std::move(call));
     co_await whole->run();
 }
 
-tl::expected<call_service::resolved_call, call_service::unrouted_call>
-call_service::resolve(
+tl::expected<call_dispatcher::resolved_call, call_dispatcher::unrouted_call>
+call_dispatcher::resolve(
     const http::request& received, const request_metadata& terms) const
 {
     const auto& routes = context_.routes;
@@ -130,14 +131,14 @@
 }
 
 asio::awaitable<void>
-call_service::wait_while(std::function<bool()> is_outdated) const
+call_dispatcher::wait_while(std::function<bool()> is_outdated) const
 {
     const core::time_point end = core::monotonic_now() + longest_table_wait;
     while (is_outdated() && core::monotonic_now() < end)
         co_await pause(context_.executor, table_look);
 }
 
-asio::awaitable<void> call_service::refuse(
+asio::awaitable<void> call_dispatcher::refuse(
     http::exchange& caller,
     std::string_view attempt_id,
     const unrouted_call& unrouted)
--- a/services/entry/src/call_log.cpp
+++ b/services/entry/src/call_log.cpp
@@ -238,7 +238,7 @@
     const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t event,
-    event_place place,
+    event_position place,
     core::duration pause,
     core::duration objective)
 {
@@ -250,7 +250,7 @@
          {"route", call.route.name},
          {"server", server.id},
          {"event_id", event},
-         {"first", place == event_place::first},
+         {"first", place == event_position::first},
          {"pause_ms", milliseconds(pause)},
          {"objective_ms", milliseconds(objective)}});
 }
@@ -258,7 +258,7 @@
 void log_stream_completed(
     const routed_call& call,
     const placement::backend_server& server,
-    const stream_pace& pace)
+    const stream_timing& pace)
 {
     telemetry::log_event(
         telemetry::log_level::info,
--- a/services/entry/src/call_answers.cpp
+++ b/services/entry/src/call_messages.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/call_answers.hpp>
+#include <godwit/entry/call_messages.hpp>
 
 #include <godwit/entry/call_log.hpp>
 
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -1,7 +1,7 @@
 #include <godwit/entry/lost_runs.hpp>
 
-#include <godwit/entry/call_answers.hpp>
 #include <godwit/entry/call_log.hpp>
+#include <godwit/entry/call_messages.hpp>
 #include <godwit/entry/crash_words.hpp>
 #include <godwit/entry/spawn.hpp>
 #include <godwit/http/client_stream.hpp>
--- a/services/entry/src/quarantine_gate.cpp
+++ b/services/entry/src/quarantine_gate.cpp
@@ -1,7 +1,7 @@
 #include <godwit/entry/quarantine_gate.hpp>
 
-#include <godwit/entry/call_answers.hpp>
 #include <godwit/entry/call_log.hpp>
+#include <godwit/entry/call_messages.hpp>
 
 namespace godwit::entry {
 
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -1,6 +1,6 @@
 #include <godwit/entry/stream_call.hpp>
 
-#include <godwit/entry/call_answers.hpp>
+#include <godwit/entry/call_messages.hpp>
 #include <godwit/entry/lost_runs.hpp>
 #include <godwit/entry/server_hold.hpp>
 
@@ -342,7 +342,7 @@
             *call_,
             active_->server(),
             last_event_,
-            is_first ? event_place::first : event_place::later,
+            is_first ? event_position::first : event_position::later,
             pause,
             objective);
 }
