--- a/services/entry/include/godwit/entry/call_log.hpp
+++ b/services/entry/include/godwit/entry/call_log.hpp
@@ -71,7 +71,7 @@
     bool is_quarantined);
 
 /// Logs that a quarantined request is sent as a trial.
-void log_trial(
+void log_quarantine_trial(
     const routed_call& call, const admission::request_fingerprint& request);
 
 /// Logs that a server still answers after connections to it broke, so that its
@@ -81,13 +81,14 @@
 
 /// A server's request limit was set, changed or lifted; `source` names the host
 /// that received the answer or reported the change.
-void log_limit(std::string_view source, const placement::server_limit& limit);
+void log_server_limit(
+    std::string_view source, const placement::server_limit& limit);
 
 /// A server's answer has an invalid request limit.
-void log_limit_refused(const placement::server_id& server);
+void log_invalid_server_limit(const placement::server_id& server);
 
 /// A stream's answer was cut midway.
-void log_cut(
+void log_stream_interrupted(
     const routed_call& call,
     const placement::backend_server& server,
     std::string_view cause,
@@ -95,7 +96,7 @@
 
 /// The caller closed its connection before it had the whole answer. `server`
 /// is empty while the request waited for one, `last_event` 0 before a first.
-void log_caller_left(
+void log_caller_disconnected(
     const routed_call& call, std::string_view server, std::uint64_t last_event);
 
 /// Where in its stream an event stands.
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -101,7 +101,7 @@
     caller_gone_ = true;
     const std::string server =
         active_ ? active_->server().id.value() : std::string();
-    log_caller_left(call_, server, 0);
+    log_caller_disconnected(call_, server, 0);
     if (waiting_ != nullptr)
         waiting_->cancel();
     if (active_)
--- a/services/entry/src/call_log.cpp
+++ b/services/entry/src/call_log.cpp
@@ -153,7 +153,7 @@
          {"source", source}});
 }
 
-void log_trial(
+void log_quarantine_trial(
     const routed_call& call, const admission::request_fingerprint& request)
 {
     telemetry::log_event(
@@ -177,7 +177,8 @@
          {"lost_runs", lost_runs}});
 }
 
-void log_limit(std::string_view source, const placement::server_limit& limit)
+void log_server_limit(
+    std::string_view source, const placement::server_limit& limit)
 {
     telemetry::log_event(
         telemetry::log_level::info,
@@ -190,7 +191,7 @@
          {"source", source}});
 }
 
-void log_limit_refused(const placement::server_id& server)
+void log_invalid_server_limit(const placement::server_id& server)
 {
     telemetry::log_event(
         telemetry::log_level::warning,
@@ -199,7 +200,7 @@
         {{"server", server}});
 }
 
-void log_cut(
+void log_stream_interrupted(
     const routed_call& call,
     const placement::backend_server& server,
     std::string_view cause,
@@ -217,7 +218,7 @@
          {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
-void log_caller_left(
+void log_caller_disconnected(
     const routed_call& call, std::string_view server, std::uint64_t last_event)
 {
     const core::time_point now = core::monotonic_now();
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -50,7 +50,7 @@
             return;
         }
         if (context_.limits.update_from_neighbour(*limit)) {
-            log_limit(host.value(), *limit);
+            log_server_limit(host.value(), *limit);
             tell_limit(*limit, 0);
         }
         if (received.sends > 0 && neighbours_->is_cell_mate(host))
--- a/services/entry/src/quarantine_gate.cpp
+++ b/services/entry/src/quarantine_gate.cpp
@@ -17,7 +17,7 @@
     is_trial_ =
         context_.quarantine.start_trial(request, rank, core::monotonic_now());
     if (is_trial_)
-        log_trial(call, request);
+        log_quarantine_trial(call, request);
     return !is_trial_;
 }
 
--- a/services/entry/src/server_limit_words.cpp
+++ b/services/entry/src/server_limit_words.cpp
@@ -73,7 +73,7 @@
                 "Answers of servers that name a limit which is none.")
             .Increment();
         if (context.invalid_limits_from.insert(server.id).second)
-            log_limit_refused(server.id);
+            log_invalid_server_limit(server.id);
         return;
     }
     if (!terms.requests_per_second && context.limits.empty())
@@ -86,7 +86,7 @@
     const auto changed = context.limits.update_from_answer(limit, sent_at);
     if (!changed)
         return;
-    log_limit(context.settings.host.value(), *changed);
+    log_server_limit(context.settings.host.value(), *changed);
     if (context.tell_limit)
         context.tell_limit(*changed, 0);
 }
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -57,7 +57,7 @@
     caller_gone_ = true;
     const std::string server =
         is_registered_ ? active_->server().id.value() : std::string();
-    log_caller_left(*call_, server, last_event_);
+    log_caller_disconnected(*call_, server, last_event_);
     search_.stop();
     if (migration_)
         migration_->stop();
@@ -350,7 +350,7 @@
 void stream_call::cut(std::string_view cause)
 {
     metrics_.finished(core::outcome::interrupted, core::monotonic_now());
-    log_cut(*call_, active_->server(), cause, last_event_);
+    log_stream_interrupted(*call_, active_->server(), cause, last_event_);
     active_->cancel();
     stop_migration();
     call_->exchange.cut();
