--- a/services/entry/include/godwit/entry/buffered_call.hpp
+++ b/services/entry/include/godwit/entry/buffered_call.hpp
@@ -55,7 +55,7 @@
     unsigned refusals_ = 0;
     std::vector<placement::server_id> tried_;
     std::shared_ptr<upstream> active_;
-    waiting_line::place* waiting_ = nullptr;
+    wait_queue::waiter* waiting_ = nullptr;
     telemetry::request_metrics metrics_;
     /// Time until a limited server accepts another request.
     core::duration limit_wait_{};
--- a/services/entry/include/godwit/entry/room_search.hpp
+++ b/services/entry/include/godwit/entry/capacity_search.hpp
@@ -5,7 +5,7 @@
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/reservation.hpp>
 #include <godwit/entry/routed_call.hpp>
-#include <godwit/entry/waiting_line.hpp>
+#include <godwit/entry/wait_queue.hpp>
 #include <godwit/placement/backend_server.hpp>
 #include <godwit/placement/work_size.hpp>
 
@@ -19,7 +19,7 @@
 namespace godwit::entry {
 
 /// A server that a stream may be sent to.
-struct found_room
+struct found_capacity
 {
     placement::backend_server server;
     /// The stream's entry in the ledger of work.
@@ -30,18 +30,18 @@
 
 /// Waits in the line until a server has room for one stream, as its waiting
 /// plan says. Used on one executor.
-class room_search
+class capacity_search
 {
 public:
-    room_search(
+    capacity_search(
         entry_context& context, std::shared_ptr<const routed_call> call);
 
-    room_search(const room_search&) = delete;
-    room_search& operator=(const room_search&) = delete;
+    capacity_search(const capacity_search&) = delete;
+    capacity_search& operator=(const capacity_search&) = delete;
 
     /// The next server; nothing when the request is to be turned away, or
     /// when the search was stopped.
-    boost::asio::awaitable<std::optional<found_room>> next();
+    boost::asio::awaitable<std::optional<found_capacity>> next();
 
     /// The server did not take the request; it is not asked again.
     void exclude(const placement::server_id& server);
@@ -58,7 +58,7 @@
     boost::asio::awaitable<std::optional<placement::placement_choice>> place();
     boost::asio::awaitable<std::optional<placement::placement_choice>>
     place_in_stage(admission::wait_stage stage);
-    boost::asio::awaitable<std::optional<found_room>>
+    boost::asio::awaitable<std::optional<found_capacity>>
     keep_room(placement::placement_choice choice);
     [[nodiscard]] placement::placement_request
     wanted(admission::wait_stage stage) const;
@@ -68,11 +68,11 @@
     admission::wait_policy plan_;
     std::optional<admission::generation_size> size_;
     std::vector<placement::server_id> excluded_;
-    waiting_line::place* waiting_ = nullptr;
+    wait_queue::waiter* waiting_ = nullptr;
     bool is_stopped_ = false;
 };
 
 /// Whether the service's servers keep room for requests that come next.
-[[nodiscard]] bool can_hold(const routed_call& call);
+[[nodiscard]] bool supports_holds(const routed_call& call);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -5,7 +5,7 @@
 #include <godwit/entry/link_claims.hpp>
 #include <godwit/entry/retry_budgets.hpp>
 #include <godwit/entry/stream_register.hpp>
-#include <godwit/entry/waiting_line.hpp>
+#include <godwit/entry/wait_queue.hpp>
 #include <godwit/entry/wire_codec.hpp>
 #include <godwit/http/connection_pool.hpp>
 #include <godwit/placement/copy_queue.hpp>
@@ -67,7 +67,7 @@
     admission::request_quarantine quarantine;
     std::map<placement::server_id, std::shared_ptr<crash_probe>> crash_probes;
     retry_budgets budgets;
-    waiting_line line;
+    wait_queue queue;
     stream_register streams;
     link_claims claims;
     placement::copy_queue copies;
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
 #include <godwit/entry/call_log.hpp>
+#include <godwit/entry/capacity_search.hpp>
 #include <godwit/entry/entry_context.hpp>
 #include <godwit/entry/event_splitter.hpp>
 #include <godwit/entry/migrator.hpp>
 #include <godwit/entry/quarantine_gate.hpp>
 #include <godwit/entry/refusal.hpp>
 #include <godwit/entry/reservation.hpp>
-#include <godwit/entry/room_search.hpp>
 #include <godwit/entry/routed_call.hpp>
 #include <godwit/entry/running_stream.hpp>
 #include <godwit/entry/upstream.hpp>
@@ -83,7 +83,7 @@
     std::shared_ptr<const routed_call> call_;
     std::shared_ptr<upstream> active_;
     quarantine_gate gate_;
-    room_search search_;
+    capacity_search search_;
     std::unique_ptr<reservation> reserved_;
     std::optional<std::string> hold_;
     std::shared_ptr<migrator> migration_;
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -147,10 +147,10 @@
         }
         if (now >= end || !tried_.empty())
             co_return std::nullopt;
-        waiting_line::place waiting(
-            context_.line, context_.executor, call_.priority);
+        wait_queue::waiter waiting(
+            context_.queue, context_.executor, call_.priority);
         waiting_ = &waiting;
-        co_await waiting.turn(end);
+        co_await waiting.wait_turn(end);
         waiting_ = nullptr;
     }
     co_return std::nullopt;
--- a/services/entry/src/room_search.cpp
+++ b/services/entry/src/capacity_search.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/room_search.hpp>
+#include <godwit/entry/capacity_search.hpp>
 
 #include <godwit/admission/make_placement_request.hpp>
 #include <godwit/entry/call_log.hpp>
@@ -22,13 +22,13 @@
 
 } // namespace
 
-bool can_hold(const routed_call& call)
+bool supports_holds(const routed_call& call)
 {
     return call.service.engine &&
            call.service.engine->max_hold > core::duration();
 }
 
-room_search::room_search(
+capacity_search::capacity_search(
     entry_context& context, std::shared_ptr<const routed_call> call)
     : context_(context), call_(std::move(call)),
       plan_(admission::wait_policy::create(
@@ -39,19 +39,19 @@
       size_(size_of(call_->metadata))
 {}
 
-void room_search::exclude(const placement::server_id& server)
+void capacity_search::exclude(const placement::server_id& server)
 {
     excluded_.push_back(server);
 }
 
-void room_search::stop()
+void capacity_search::stop()
 {
     is_stopped_ = true;
     if (waiting_ != nullptr)
         waiting_->cancel();
 }
 
-asio::awaitable<std::optional<found_room>> room_search::next()
+asio::awaitable<std::optional<found_capacity>> capacity_search::next()
 {
     while (!is_stopped_) {
         auto choice = co_await place();
@@ -64,7 +64,8 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<placement::placement_choice>> room_search::place()
+asio::awaitable<std::optional<placement::placement_choice>>
+capacity_search::place()
 {
     auto choice = co_await place_in_stage(wait_stage::timely);
     if (!choice && !is_stopped_)
@@ -72,7 +73,7 @@
     co_return choice;
 }
 
-placement::placement_request room_search::wanted(wait_stage stage) const
+placement::placement_request capacity_search::wanted(wait_stage stage) const
 {
     placement::placement_request wanted =
         admission::make_placement_request(call_->service, size_, plan_, stage);
@@ -82,12 +83,12 @@
 }
 
 asio::awaitable<std::optional<placement::placement_choice>>
-room_search::place_in_stage(wait_stage stage)
+capacity_search::place_in_stage(wait_stage stage)
 {
     const core::time_point end = plan_.stage_end(stage);
-    std::optional<waiting_line::place> waiting;
+    std::optional<wait_queue::waiter> waiting;
     core::time_point next_look{};
-    bool is_my_turn = !context_.line.is_ahead_of(plan_.rank(stage));
+    bool is_my_turn = !context_.queue.has_waiter_ahead_of(plan_.rank(stage));
     while (!is_stopped_) {
         const core::time_point now = core::monotonic_now();
         if (is_my_turn && now >= next_look) {
@@ -102,9 +103,9 @@
             co_return std::nullopt;
         if (!waiting)
             waiting.emplace(
-                context_.line, context_.executor, plan_.rank(stage));
+                context_.queue, context_.executor, plan_.rank(stage));
         waiting_ = &*waiting;
-        co_await waiting->turn(
+        co_await waiting->wait_turn(
             next_look > now ? std::min(end, next_look) : end);
         waiting_ = nullptr;
         is_my_turn = true;
@@ -115,16 +116,16 @@
 // Hosts that choose at the same moment choose the same server. It tells the
 // one that comes too late at once, when another server still can be in time;
 // sent without asking, the request would wait there for memory.
-asio::awaitable<std::optional<found_room>>
-room_search::keep_room(placement::placement_choice choice)
+asio::awaitable<std::optional<found_capacity>>
+capacity_search::keep_room(placement::placement_choice choice)
 {
     const placement::work_size work = wanted(wait_stage::timely).work;
-    found_room room{
+    found_capacity room{
         choice.server,
         std::make_unique<reservation>(context_, choice.server.id, work),
         std::nullopt};
     // A hold would be one more request to a server that limits them.
-    if (!can_hold(*call_) || context_.limits.is_limited(choice.server.id))
+    if (!supports_holds(*call_) || context_.limits.is_limited(choice.server.id))
         co_return room;
     hold_response answer =
         co_await acquire_hold(context_, *call_, choice.server, work.tokens);
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -222,7 +222,7 @@
 {
     changed_servers_.insert(server.id);
     context_.connections->forget(server.address);
-    context_.line.wake();
+    context_.queue.wake_first();
     // Those of the first list are told together.
     if (!has_servers_)
         return;
@@ -433,7 +433,7 @@
         left(gone, "lapsed");
     context_.quarantine.expire(core::monotonic_now());
     update_limit_share();
-    context_.line.wake();
+    context_.queue.wake_first();
     tell_servers();
     tell_work();
     tell_cell();
--- a/services/entry/src/entry_process_operators.cpp
+++ b/services/entry/src/entry_process_operators.cpp
@@ -51,7 +51,7 @@
         static_cast<double>(context_.streams.size()));
     set("godwit_requests_waiting",
         "Requests that wait for room at the backend servers.",
-        static_cast<double>(context_.line.size()));
+        static_cast<double>(context_.queue.size()));
     set("godwit_requests_suspected",
         "Requests under which backend servers crashed lately.",
         static_cast<double>(context_.quarantine.size()));
@@ -78,7 +78,7 @@
     state["table_version"] = context_.routes ? context_.routes->version() : 0;
     state["servers"] = context_.directory.size();
     state["streams"] = context_.streams.size();
-    state["waiting"] = context_.line.size();
+    state["waiting"] = context_.queue.size();
     state["connections"] = callers_->open_connections();
     return boost::json::serialize(state);
 }
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -89,7 +89,7 @@
     context_.routes = routes;
     table_inquiry_.in_force(version);
     neighbours_->broadcast(wire::catalogue_position{version, 0});
-    context_.line.wake();
+    context_.queue.wake_first();
     remember(std::move(table));
 }
 
--- a/services/entry/src/reservation.cpp
+++ b/services/entry/src/reservation.cpp
@@ -18,7 +18,7 @@
 reservation::~reservation()
 {
     context_.ledger.remove(server_, work_);
-    context_.line.wake();
+    context_.queue.wake_first();
 }
 
 void reservation::set_progress(std::uint64_t tokens, placement::event_gaps gaps)
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -74,7 +74,7 @@
     // Where room was kept the order is settled. An urgent request would stop
     // the newest of the others when memory ends, to be read again: three
     // times as many prompts were read in vain.
-    if (call_->service.engine && !can_hold(*call_))
+    if (call_->service.engine && !supports_holds(*call_))
         terms.priority = call_->priority;
     if (!resume_from)
         terms.hold = hold_;
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -4,7 +4,7 @@
 #include <godwit/entry/list_outage.hpp>
 #include <godwit/entry/neighbour_choice.hpp>
 #include <godwit/entry/stream_register.hpp>
-#include <godwit/entry/waiting_line.hpp>
+#include <godwit/entry/wait_queue.hpp>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -388,12 +388,12 @@
     void test_the_most_urgent_and_then_the_oldest_go_first()
     {
         boost::asio::io_context context;
-        waiting_line line;
+        wait_queue line;
         std::string order;
         const auto wait = [&](int priority,
                               char name) -> boost::asio::awaitable<void> {
-            waiting_line::place place(line, context.get_executor(), priority);
-            co_await place.turn(
+            wait_queue::waiter place(line, context.get_executor(), priority);
+            co_await place.wait_turn(
                 core::monotonic_now() + std::chrono::seconds(10));
             order += name;
         };
@@ -406,12 +406,12 @@
         spawn(1, 'b');
         spawn(0, 'c');
         spawn(2, 'd');
-        CPPUNIT_ASSERT(line.is_ahead_of(0));
+        CPPUNIT_ASSERT(line.has_waiter_ahead_of(0));
         // Each that leaves lets the next one try.
-        line.wake();
+        line.wake_first();
         context.run();
         CPPUNIT_ASSERT_EQUAL(std::string("cabd"), order);
-        CPPUNIT_ASSERT(!line.is_ahead_of(2));
+        CPPUNIT_ASSERT(!line.has_waiter_ahead_of(2));
     }
 };
 
