--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -4,7 +4,7 @@
 #include <godwit/entry/entry_settings.hpp>
 #include <godwit/entry/link_claims.hpp>
 #include <godwit/entry/retry_budgets.hpp>
-#include <godwit/entry/stream_register.hpp>
+#include <godwit/entry/stream_registry.hpp>
 #include <godwit/entry/wait_queue.hpp>
 #include <godwit/entry/wire_codec.hpp>
 #include <godwit/http/connection_pool.hpp>
@@ -68,7 +68,7 @@
     std::map<placement::server_id, std::shared_ptr<crash_probe>> crash_probes;
     retry_budgets budgets;
     wait_queue queue;
-    stream_register streams;
+    stream_registry streams;
     link_claims claims;
     placement::copy_queue copies;
     /// Tells the neighbours something; set by the process.
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -28,8 +28,8 @@
 /// Why a running generation goes on elsewhere.
 enum class migration_cause
 {
-    server_leaves, ///< It is lost otherwise: any server with room will do.
-    rebalance,     ///< It is better off in its host's zone, if there is room.
+    server_draining, ///< It is lost otherwise: any server with room will do.
+    rebalance,       ///< It is better off in its host's zone, if there is room.
 };
 
 /// Takes one running generation away from its server: a copy of its memory
@@ -50,7 +50,7 @@
     void start();
 
     /// The source leaves: whatever it was begun for, the generation has to go.
-    void server_leaves();
+    void on_server_draining();
 
     /// The caller left or the generation ended by itself: frees what was
     /// copied and ends.
@@ -99,7 +99,7 @@
 
     [[nodiscard]] bool has_to_leave() const noexcept
     {
-        return cause_ == migration_cause::server_leaves;
+        return cause_ == migration_cause::server_draining;
     }
 
     [[nodiscard]] placement::placement_request wanted() const;
--- a/services/entry/include/godwit/entry/running_stream.hpp
+++ b/services/entry/include/godwit/entry/running_stream.hpp
@@ -12,14 +12,14 @@
     virtual ~running_stream() = default;
 
     /// The server that runs the generation leaves.
-    virtual void server_leaves() = 0;
+    virtual void on_server_draining() = 0;
 
     /// The server began anew: the generation is gone there.
-    virtual void server_restarted() = 0;
+    virtual void on_server_restarted() = 0;
 
     /// How long nothing has come from the server, if something should have.
     [[nodiscard]] virtual core::duration
-    silence(core::time_point now) const = 0;
+    idle_time(core::time_point now) const = 0;
 
 protected:
     running_stream() = default;
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -39,11 +39,11 @@
 
     boost::asio::awaitable<void> run();
 
-    void server_leaves() override;
+    void on_server_draining() override;
 
-    void server_restarted() override;
+    void on_server_restarted() override;
 
-    [[nodiscard]] core::duration silence(core::time_point now) const override;
+    [[nodiscard]] core::duration idle_time(core::time_point now) const override;
 
 private:
     boost::asio::awaitable<bool> start();
--- a/services/entry/include/godwit/entry/stream_register.hpp
+++ b/services/entry/include/godwit/entry/stream_registry.hpp
@@ -12,23 +12,23 @@
 namespace godwit::entry {
 
 /// Which streams run at which backend server. Used on one executor.
-class stream_register
+class stream_registry
 {
 public:
     void add(const placement::server_id& server, running_stream& stream);
     void remove(const placement::server_id& server, running_stream& stream);
 
     /// Tells each stream at the server that it leaves.
-    void server_leaves(const placement::server_id& server);
+    void notify_draining(const placement::server_id& server);
 
     /// Tells each stream at the server that the server began anew.
-    void server_restarted(const placement::server_id& server);
+    void notify_restarted(const placement::server_id& server);
 
     /// The servers of which every stream of this host has been silent for
     /// `span`: they hang or are cut off, whatever the list says. One silent
     /// stream among others was pushed off for a while.
     [[nodiscard]] std::vector<placement::server_id>
-    silent_servers(core::duration span, core::time_point now) const;
+    unresponsive_servers(core::duration span, core::time_point now) const;
 
     /// The servers that run streams.
     [[nodiscard]] std::vector<placement::server_id> servers() const;
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -252,7 +252,7 @@
     context_.connections->forget(address);
     context_.health.forget(server);
     forget_limit(server);
-    context_.streams.server_restarted(server);
+    context_.streams.notify_restarted(server);
 }
 
 void entry_process::forget_limit(const placement::server_id& server)
@@ -289,7 +289,7 @@
     tell_servers();
     context_.health.forget(server);
     forget_limit(server);
-    context_.streams.server_leaves(server);
+    context_.streams.notify_draining(server);
 }
 
 void entry_process::set_source_current(bool is_current)
@@ -359,7 +359,8 @@
 void entry_process::avoid_silent_servers()
 {
     const core::time_point now = core::monotonic_now();
-    for (const auto& id : context_.streams.silent_servers(silent_span, now)) {
+    for (const auto& id :
+         context_.streams.unresponsive_servers(silent_span, now)) {
         if (context_.health.is_avoided(id, now))
             continue;
         context_.health.record_unreachable(id, now);
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -86,9 +86,9 @@
         });
 }
 
-void migrator::server_leaves()
+void migrator::on_server_draining()
 {
-    cause_ = migration_cause::server_leaves;
+    cause_ = migration_cause::server_draining;
     began_ = core::monotonic_now();
 }
 
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -232,7 +232,7 @@
         co_await call_->exchange.respond(std::move(answer));
 }
 
-core::duration stream_call::silence(core::time_point now) const
+core::duration stream_call::idle_time(core::time_point now) const
 {
     if (last_relayed_)
         return now - *last_relayed_;
--- a/services/entry/src/stream_call_migration.cpp
+++ b/services/entry/src/stream_call_migration.cpp
@@ -54,7 +54,7 @@
     context_.streams.add(active_->server().id, *this);
     is_registered_ = true;
     if (!context_.directory.is_usable(active_->server().id))
-        server_leaves();
+        on_server_draining();
 }
 
 void stream_call::leave_server()
@@ -64,19 +64,19 @@
     is_registered_ = false;
 }
 
-void stream_call::server_leaves()
+void stream_call::on_server_draining()
 {
     forget_failed_migration();
     if (migration_)
-        migration_->server_leaves();
+        migration_->on_server_draining();
     else
-        migrate(migration_cause::server_leaves);
+        migrate(migration_cause::server_draining);
 }
 
 // The new life knows nothing of this run: it is asked for no copy, and its
 // leaving is none of this stream's. The stream itself ends with its connection,
 // and goes on from what a copy brought elsewhere before, if there is one.
-void stream_call::server_restarted()
+void stream_call::on_server_restarted()
 {
     leave_server();
     if (migration_)
--- a/services/entry/src/stream_register.cpp
+++ b/services/entry/src/stream_registry.cpp
@@ -1,16 +1,16 @@
-#include <godwit/entry/stream_register.hpp>
+#include <godwit/entry/stream_registry.hpp>
 
 #include <algorithm>
 
 namespace godwit::entry {
 
-void stream_register::add(
+void stream_registry::add(
     const placement::server_id& server, running_stream& stream)
 {
     streams_[server].insert(&stream);
 }
 
-void stream_register::remove(
+void stream_registry::remove(
     const placement::server_id& server, running_stream& stream)
 {
     const auto found = streams_.find(server);
@@ -22,7 +22,7 @@
 }
 
 std::vector<running_stream*>
-stream_register::streams_at(const placement::server_id& server) const
+stream_registry::streams_at(const placement::server_id& server) const
 {
     const auto found = streams_.find(server);
     if (found == streams_.end())
@@ -30,20 +30,20 @@
     return {found->second.begin(), found->second.end()};
 }
 
-void stream_register::server_leaves(const placement::server_id& server)
+void stream_registry::notify_draining(const placement::server_id& server)
 {
     for (running_stream* stream : streams_at(server))
-        stream->server_leaves();
+        stream->on_server_draining();
 }
 
-void stream_register::server_restarted(const placement::server_id& server)
+void stream_registry::notify_restarted(const placement::server_id& server)
 {
     for (running_stream* stream : streams_at(server))
-        stream->server_restarted();
+        stream->on_server_restarted();
 }
 
-std::vector<placement::server_id>
-stream_register::silent_servers(core::duration span, core::time_point now) const
+std::vector<placement::server_id> stream_registry::unresponsive_servers(
+    core::duration span, core::time_point now) const
 {
     std::vector<placement::server_id> silent;
     for (const auto& [server, streams] : streams_) {
@@ -51,7 +51,7 @@
             streams.begin(),
             streams.end(),
             [span, now](const running_stream* stream) {
-                return stream->silence(now) >= span;
+                return stream->idle_time(now) >= span;
             });
         if (are_silent)
             silent.push_back(server);
@@ -59,7 +59,7 @@
     return silent;
 }
 
-std::vector<placement::server_id> stream_register::servers() const
+std::vector<placement::server_id> stream_registry::servers() const
 {
     std::vector<placement::server_id> running;
     running.reserve(streams_.size());
@@ -68,7 +68,7 @@
     return running;
 }
 
-std::size_t stream_register::size() const noexcept
+std::size_t stream_registry::size() const noexcept
 {
     std::size_t count = 0;
     for (const auto& [server, streams] : streams_)
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -141,7 +141,7 @@
     {
         bool is_alive = false;
         stage::play([&](stage& on) -> asio::awaitable<void> {
-            auto held = on.make(migration_cause::server_leaves);
+            auto held = on.make(migration_cause::server_draining);
             const std::weak_ptr<migrator> seen = held;
             asio::co_spawn(
                 on.context.executor,
@@ -174,7 +174,7 @@
             for (const char* id : {"i-1", "i-2"})
                 on.context.directory.listed(
                     server_named(id, id[2] - '0'), core::monotonic_now());
-            const auto held = on.make(migration_cause::server_leaves);
+            const auto held = on.make(migration_cause::server_draining);
             asio::co_spawn(
                 on.context.executor,
                 held->outcome(core::monotonic_now() + std::chrono::seconds(5)),
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -3,7 +3,7 @@
 #include <godwit/entry/link_claims.hpp>
 #include <godwit/entry/list_outage.hpp>
 #include <godwit/entry/neighbour_choice.hpp>
-#include <godwit/entry/stream_register.hpp>
+#include <godwit/entry/stream_registry.hpp>
 #include <godwit/entry/wait_queue.hpp>
 
 #include <boost/asio/co_spawn.hpp>
@@ -49,11 +49,11 @@
 {
     core::time_point last;
 
-    void server_leaves() override {}
+    void on_server_draining() override {}
 
-    void server_restarted() override {}
+    void on_server_restarted() override {}
 
-    [[nodiscard]] core::duration silence(core::time_point now) const override
+    [[nodiscard]] core::duration idle_time(core::time_point now) const override
     {
         return now - last;
     }
@@ -369,20 +369,20 @@
 
     void test_a_server_is_silent_when_all_its_streams_are()
     {
-        stream_register streams;
+        stream_registry streams;
         quiet_stream one;
         quiet_stream other;
         streams.add(server_id("s"), one);
         streams.add(server_id("s"), other);
         other.last = at_ms(500);
         const auto span = std::chrono::milliseconds(700);
-        CPPUNIT_ASSERT(streams.silent_servers(span, at_ms(1199)).empty());
+        CPPUNIT_ASSERT(streams.unresponsive_servers(span, at_ms(1199)).empty());
         CPPUNIT_ASSERT(
-            streams.silent_servers(span, at_ms(1200)) ==
+            streams.unresponsive_servers(span, at_ms(1200)) ==
             std::vector{server_id("s")});
         streams.remove(server_id("s"), one);
         streams.remove(server_id("s"), other);
-        CPPUNIT_ASSERT(streams.silent_servers(span, at_ms(9999)).empty());
+        CPPUNIT_ASSERT(streams.unresponsive_servers(span, at_ms(9999)).empty());
     }
 
     void test_the_most_urgent_and_then_the_oldest_go_first()
--- a/tests/entry/report_poller_test.cpp
+++ b/tests/entry/report_poller_test.cpp
@@ -31,11 +31,11 @@
 
 struct quiet_stream : running_stream
 {
-    void server_leaves() override {}
+    void on_server_draining() override {}
 
-    void server_restarted() override {}
+    void on_server_restarted() override {}
 
-    [[nodiscard]] core::duration silence(core::time_point) const override
+    [[nodiscard]] core::duration idle_time(core::time_point) const override
     {
         return {};
     }
