--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -59,20 +59,20 @@
     placement::server_directory directory;
     placement::load_ledger ledger;
     placement::server_health health;
-    placement::slow_server_detector paces;
+    placement::slow_server_detector slow_servers;
     placement::server_limits limits;
     /// Servers whose invalid limits were logged.
     std::set<placement::server_id> invalid_limits_from;
-    placement::placer chooser;
+    placement::placer placer;
     admission::request_quarantine quarantine;
     std::map<placement::server_id, std::shared_ptr<crash_probe>> crash_probes;
     retry_budgets budgets;
     wait_queue queue;
     stream_registry streams;
     link_claims claims;
-    placement::copy_queue copies;
+    placement::copy_queue copy_queue;
     /// Tells the neighbours something; set by the process.
-    std::function<void(const wire::message&)> tell;
+    std::function<void(const wire::message&)> broadcast;
     /// Called on each crash recorded by this host after which the request is
     /// quarantined, unless a neighbour or the store reported the crash; set by
     /// the process's sources.
@@ -83,7 +83,8 @@
         on_quarantine_lifted;
     /// Reports a changed limit, or requests that were sent to a limited server,
     /// to the neighbours; set by the process.
-    std::function<void(const placement::server_limit&, unsigned)> tell_limit;
+    std::function<void(const placement::server_limit&, unsigned)>
+        broadcast_limit;
     /// Returns this host's zero-based rank among the hosts of the fleet for
     /// `key`, by rendezvous hashing; set by the process.
     std::function<std::size_t(std::string_view key)> host_rank;
@@ -97,7 +98,7 @@
     std::function<bool()> is_refreshing;
     /// Whether there may be a newer version of the route table, known to a
     /// neighbour; set by the process.
-    std::function<bool()> may_lack_version;
+    std::function<bool()> may_have_stale_routes;
     std::unique_ptr<http::connection_pool> connections;
     std::unique_ptr<telemetry::metrics> metrics;
     bool is_stopping = false;
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -135,7 +135,7 @@
         std::min(call_.arrival_time + longest, call_.deadline);
     while (!caller_gone_) {
         const core::time_point now = core::monotonic_now();
-        const auto found = context_.chooser.choose(wanted, now);
+        const auto found = context_.placer.choose(wanted, now);
         if (found) {
             log_placed(call_, *found, admission::wait_stage::timely);
             co_return found->server;
--- a/services/entry/src/call_dispatcher.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -72,8 +72,8 @@
         co_await wait_while(context_.is_refreshing);
     auto found = resolve(received, terms);
     if (!found && is_final(found.error().reason) &&
-        context_.may_lack_version()) {
-        co_await wait_while(context_.may_lack_version);
+        context_.may_have_stale_routes()) {
+        co_await wait_while(context_.may_have_stale_routes);
         found = resolve(received, terms);
     }
     if (!found) {
--- a/services/entry/src/capacity_search.cpp
+++ b/services/entry/src/capacity_search.cpp
@@ -93,7 +93,7 @@
         const core::time_point now = core::monotonic_now();
         if (is_my_turn && now >= next_look) {
             next_look = plan_.next_attempt(stage, now);
-            auto found = context_.chooser.choose(wanted(stage), now);
+            auto found = context_.placer.choose(wanted(stage), now);
             if (found) {
                 log_placed(*call_, *found, stage);
                 co_return std::move(*found);
--- a/services/entry/src/entry_context.cpp
+++ b/services/entry/src/entry_context.cpp
@@ -27,11 +27,11 @@
     entry_settings read,
     const codec_functions& spoken)
     : executor(used), settings(std::move(read)), codec(spoken),
-      chooser(
+      placer(
           directory,
           ledger,
           health,
-          paces,
+          slow_servers,
           limits,
           core::stable_hash(settings.host.value())),
       budgets(settings),
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -152,7 +152,7 @@
     signals_.add(SIGINT, ignored);
     signals_.add(SIGHUP, ignored);
     wait_for_signal();
-    context_.tell = [this](const wire::message& said) {
+    context_.broadcast = [this](const wire::message& said) {
         neighbours_->broadcast(said);
     };
     context_.on_work_added = [this] {
@@ -161,14 +161,14 @@
     context_.host_rank = [this](std::string_view key) {
         return host_rank(key);
     };
-    context_.tell_limit =
+    context_.broadcast_limit =
         [this](const placement::server_limit& limit, unsigned sends) {
             tell_limit(limit, sends);
         };
     context_.is_refreshing = [this] {
         return is_refreshing();
     };
-    context_.may_lack_version = [this] {
+    context_.may_have_stale_routes = [this] {
         return may_lack_version();
     };
     neighbours_->start();
--- a/services/entry/src/entry_process_paces.cpp
+++ b/services/entry/src/entry_process_paces.cpp
@@ -35,7 +35,7 @@
 {
     const auto seen = placement::observed_gaps(
         context_.directory, context_.ledger, service.name, now);
-    const auto changes = context_.paces.compare(seen, now);
+    const auto changes = context_.slow_servers.compare(seen, now);
     if (changes == placement::speed_changes())
         return;
     telemetry::log_event(
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -31,8 +31,8 @@
         report.request,
         context.quarantine.crash_count(report.request),
         is_quarantined);
-    if (context.tell)
-        context.tell(
+    if (context.broadcast)
+        context.broadcast(
             wire::crash_reports{{to_wire(report, core::monotonic_now())}, {}});
     if (is_quarantined && context.on_quarantined)
         context.on_quarantined(*context.quarantine.find(report.request));
@@ -150,8 +150,8 @@
     if (!context.quarantine.remove(request, core::monotonic_now()))
         return;
     log_crash_count(context.settings.host.value(), request, 0, false);
-    if (context.tell)
-        context.tell(wire::crash_reports{{}, {request.value()}});
+    if (context.broadcast)
+        context.broadcast(wire::crash_reports{{}, {request.value()}});
     if (was_quarantined && context.on_quarantine_lifted)
         context.on_quarantine_lifted(request);
 }
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -117,14 +117,14 @@
 asio::awaitable<void> migrator::take_turn()
 {
     const placement::server_id& source = source_->server().id;
-    turn_ = context_.copies.enqueue(source, urgency_);
-    while (!is_stopped_ && !context_.copies.try_start(source, turn_))
+    turn_ = context_.copy_queue.enqueue(source, urgency_);
+    while (!is_stopped_ && !context_.copy_queue.try_start(source, turn_))
         co_await pause(context_.executor, turn_pause);
 }
 
 void migrator::end_turn()
 {
-    context_.copies.end(source_->server().id, turn_);
+    context_.copy_queue.end(source_->server().id, turn_);
 }
 
 asio::awaitable<void> migrator::work()
@@ -179,11 +179,11 @@
 
 void migrator::claim_links(core::duration hold)
 {
-    if (!context_.tell)
+    if (!context_.broadcast)
         return;
     const auto hold_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(hold).count();
-    context_.tell(wire::link_claim{
+    context_.broadcast(wire::link_claim{
         {source_->server().id.value(), destination_->id.value()},
         static_cast<std::uint32_t>(hold_ms)});
 }
@@ -207,7 +207,7 @@
     placement::placement_request request = wanted();
     request.excluded = refused_;
     request.excluded.push_back(source_->server().id);
-    const auto found = context_.chooser.choose(request, core::monotonic_now());
+    const auto found = context_.placer.choose(request, core::monotonic_now());
     if (!found) {
         // Whoever refused a moment ago may have room now.
         refused_.clear();
--- a/services/entry/src/server_limit_words.cpp
+++ b/services/entry/src/server_limit_words.cpp
@@ -56,8 +56,9 @@
 void record_request(entry_context& context, const placement::server_id& server)
 {
     const core::time_point now = core::monotonic_now();
-    if (context.limits.record_requests(server, 1, now) && context.tell_limit)
-        context.tell_limit(*context.limits.find(server), 1);
+    if (context.limits.record_requests(server, 1, now) &&
+        context.broadcast_limit)
+        context.broadcast_limit(*context.limits.find(server), 1);
 }
 
 void update_limit(
@@ -87,8 +88,8 @@
     if (!changed)
         return;
     log_server_limit(context.settings.host.value(), *changed);
-    if (context.tell_limit)
-        context.tell_limit(*changed, 0);
+    if (context.broadcast_limit)
+        context.broadcast_limit(*changed, 0);
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/stream_call_migration.cpp
+++ b/services/entry/src/stream_call_migration.cpp
@@ -118,7 +118,7 @@
     rebalancing_.record_attempt(now);
     forget_failed_migration();
     const auto wanted = rebalancing_.make_request(call_->service, run.work);
-    if (context_.chooser.choose(wanted, now))
+    if (context_.placer.choose(wanted, now))
         migrate(migration_cause::rebalance);
 }
 
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -184,8 +184,8 @@
             held->start();
             co_await on.pass(std::chrono::milliseconds(100));
             const placement::server_id source("i-1");
-            const auto turn = on.context.copies.enqueue(source, 1.0);
-            is_turn_free = on.context.copies.try_start(source, turn);
+            const auto turn = on.context.copy_queue.enqueue(source, 1.0);
+            is_turn_free = on.context.copy_queue.try_start(source, turn);
         });
         CPPUNIT_ASSERT(is_told);
         CPPUNIT_ASSERT(is_turn_free);
