--- a/services/entry/include/godwit/entry/event_splitter.hpp
+++ b/services/entry/include/godwit/entry/event_splitter.hpp
@@ -16,7 +16,7 @@
 {
 public:
     /// A longer event ends the stream: an engine's are below 2 KB.
-    static constexpr std::size_t largest_event = std::size_t{256} * 1024;
+    static constexpr std::size_t max_event_bytes = std::size_t{256} * 1024;
 
     /// The events that `bytes` complete. Fails with `exhausted` when one is
     /// larger than the bound.
@@ -24,7 +24,7 @@
     push(std::string_view bytes);
 
     /// Whether the stream so far ends between two events.
-    [[nodiscard]] bool is_between_events() const noexcept
+    [[nodiscard]] bool is_at_event_boundary() const noexcept
     {
         return pending_.empty();
     }
--- a/services/entry/include/godwit/entry/upstream.hpp
+++ b/services/entry/include/godwit/entry/upstream.hpp
@@ -44,9 +44,9 @@
 public:
     /// A server that takes longer to accept a connection is passed over; the
     /// longest and the shortest limit.
-    static constexpr core::duration longest_connect =
+    static constexpr core::duration max_connect_timeout =
         std::chrono::milliseconds(400);
-    static constexpr core::duration shortest_connect =
+    static constexpr core::duration min_connect_timeout =
         std::chrono::milliseconds(80);
 
     /// `objective` is the request's latency objective: a connection attempt
@@ -64,7 +64,7 @@
     /// Sends the request and waits for the head of its own answer until
     /// `end`; answers to other requests are passed over.
     boost::asio::awaitable<upstream_result<http::response_head>>
-    begin(http::request outgoing, std::string attempt_id, core::time_point end);
+    send(http::request outgoing, std::string attempt_id, core::time_point end);
 
     /// The next bytes of the body, or nothing at its end.
     boost::asio::awaitable<upstream_result<std::optional<std::string>>>
@@ -78,7 +78,7 @@
     void cancel() noexcept;
 
     /// Keeps the connection for others if the exchange ended whole.
-    void finish();
+    void release_connection();
 
 private:
     boost::asio::awaitable<upstream_result<void>> connect(core::time_point end);
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -186,7 +186,7 @@
     http::request outgoing =
         forwarded_request(context_, call_, std::move(terms));
     const std::string attempt_id = call_.metadata.attempt_id;
-    auto head = co_await exchange->begin(std::move(outgoing), attempt_id, end);
+    auto head = co_await exchange->send(std::move(outgoing), attempt_id, end);
     upstream_result<std::string> body;
     if (head)
         body = co_await exchange->read_all(end);
@@ -209,7 +209,7 @@
         runs_ += result.may_have_run ? 1 : 0;
         co_return result;
     }
-    exchange->finish();
+    exchange->release_connection();
     const response_metadata said =
         context_.codec.read_response_metadata(head->fields);
     result.may_have_run = !said.is_not_run;
--- a/services/entry/src/event_splitter.cpp
+++ b/services/entry/src/event_splitter.cpp
@@ -62,10 +62,10 @@
         done += size;
     }
     pending_.erase(0, done);
-    if (pending_.size() > largest_event)
+    if (pending_.size() > max_event_bytes)
         return core::fail(
             core::error_kind::exhausted,
-            "an event is larger than " + std::to_string(largest_event) +
+            "an event is larger than " + std::to_string(max_event_bytes) +
                 " bytes",
             "check that the backend server sends an event stream");
     return events;
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -138,7 +138,7 @@
         context_, server, call_->route.latency_objective));
     http::request outgoing = request_for(server.id, std::nullopt);
     const std::string attempt_id = call_->metadata.attempt_id;
-    auto head = co_await active_->begin(
+    auto head = co_await active_->send(
         std::move(outgoing), attempt_id, call_->deadline);
     const bool was_handed_over =
         head || head.error().fault != upstream_fault::unreachable;
@@ -222,7 +222,7 @@
         co_await refuse(refusal_reason::answer_lost);
         co_return;
     }
-    active_->finish();
+    active_->release_connection();
     metrics_.finished(core::outcome::completed, core::monotonic_now());
     http::response answer{
         head.status,
@@ -257,8 +257,8 @@
                 co_return;
             continue;
         }
-        if (piece && splitter_.is_between_events()) {
-            active_->finish();
+        if (piece && splitter_.is_at_event_boundary()) {
+            active_->release_connection();
             stop_migration();
             context_.health.record_success(active_->server().id);
             record_completed_run(context_, *call_);
--- a/services/entry/src/stream_call_migration.cpp
+++ b/services/entry/src/stream_call_migration.cpp
@@ -154,7 +154,7 @@
     rhythm_ = placement::event_gap_tracker();
     const std::string attempt_id = call_->metadata.attempt_id;
     auto head =
-        co_await next->begin(std::move(outgoing), attempt_id, call_->deadline);
+        co_await next->send(std::move(outgoing), attempt_id, call_->deadline);
     const bool runs = head && head->status < first_failure;
     std::string verdict = "resumed";
     if (!head)
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -53,7 +53,7 @@
     core::duration objective)
     : context_(context), server_(std::move(server)),
       connect_limit_(std::clamp(
-          objective / connect_part, shortest_connect, longest_connect))
+          objective / connect_part, min_connect_timeout, max_connect_timeout))
 {}
 
 asio::awaitable<upstream_result<void>> upstream::connect(core::time_point end)
@@ -69,7 +69,7 @@
     co_return upstream_result<void>();
 }
 
-asio::awaitable<upstream_result<http::response_head>> upstream::begin(
+asio::awaitable<upstream_result<http::response_head>> upstream::send(
     http::request outgoing, std::string attempt_id, core::time_point end)
 {
     const auto connected = co_await connect(end);
@@ -148,7 +148,7 @@
         stream_->cancel();
 }
 
-void upstream::finish()
+void upstream::release_connection()
 {
     if (stream_ && !is_cancelled_)
         context_.connections->give_back(server_.address, std::move(*stream_));
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -103,7 +103,7 @@
             }
             CPPUNIT_ASSERT_EQUAL(text, joined);
             CPPUNIT_ASSERT(ids == (std::vector<std::uint64_t>{1, 2, 0}));
-            CPPUNIT_ASSERT(splitter.is_between_events());
+            CPPUNIT_ASSERT(splitter.is_at_event_boundary());
         }
     }
 
@@ -112,13 +112,13 @@
         event_splitter splitter;
         const auto events = splitter.push("id: 1\n\nid: 2\nda").value();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, events.size());
-        CPPUNIT_ASSERT(!splitter.is_between_events());
+        CPPUNIT_ASSERT(!splitter.is_at_event_boundary());
     }
 
     void test_an_endless_event_is_refused()
     {
         event_splitter splitter;
-        const std::string endless(event_splitter::largest_event + 1, 'x');
+        const std::string endless(event_splitter::max_event_bytes + 1, 'x');
         CPPUNIT_ASSERT(!splitter.push(endless));
     }
 
