--- a/services/entry/include/godwit/entry/reservation.hpp
+++ b/services/entry/include/godwit/entry/reservation.hpp
@@ -23,10 +23,10 @@
     reservation& operator=(const reservation&) = delete;
 
     /// The prompt has been read.
-    void prompt_is_read();
+    void on_prefill_done();
 
     /// Its memory came over the server's link.
-    void memory_has_arrived();
+    void on_kv_cache_received();
 
     /// The run takes this much memory now, and its events come like this.
     void set_progress(std::uint64_t tokens, placement::event_gaps gaps);
--- a/services/entry/include/godwit/entry/retry_budgets.hpp
+++ b/services/entry/include/godwit/entry/retry_budgets.hpp
@@ -20,13 +20,14 @@
 
     /// How many hosts share the allowance; it only grows, since a host that
     /// is not heard may still serve.
-    void set_hosts(std::size_t hosts);
+    void set_host_count(std::size_t hosts);
 
     /// Other shares and allowances from now on.
-    void set_terms(const entry_settings& settings);
+    void update_settings(const entry_settings& settings);
 
     /// A first attempt at the service starts.
-    void first_attempt(const core::service_name& service, core::time_point now);
+    void record_first_attempt(
+        const core::service_name& service, core::time_point now);
 
     /// Whether one more repeat may start; takes it from the budget if so.
     [[nodiscard]] bool
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -57,7 +57,8 @@
         if (const auto kept = weak.lock())
             kept->caller_left();
     });
-    context_.budgets.first_attempt(call_.service.name, call_.arrival_time);
+    context_.budgets.record_first_attempt(
+        call_.service.name, call_.arrival_time);
     attempt_result last;
     last.refusal = refusal_reason::no_server;
     last.may_have_run = false;
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -332,7 +332,7 @@
 
 void entry_process::set_hosts(const std::vector<known_host>& hosts)
 {
-    context_.budgets.set_hosts(hosts.size());
+    context_.budgets.set_host_count(hosts.size());
     fleet_size_ = hosts.size();
     fleet_hosts_.clear();
     for (const known_host& host : hosts)
--- a/services/entry/src/entry_process_reload.cpp
+++ b/services/entry/src/entry_process_reload.cpp
@@ -56,7 +56,7 @@
     if (taken == context_.settings)
         return;
     context_.settings = taken;
-    context_.budgets.set_terms(taken);
+    context_.budgets.update_settings(taken);
     neighbours_->connect_seeds();
 }
 
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -242,7 +242,7 @@
         switch (answer.status) {
         case copy_status::done:
             ++copies;
-            reserved_->memory_has_arrived();
+            reserved_->on_kv_cache_received();
             if (answer.handle)
                 copied_ = migrated_run{*destination_, *answer.handle};
             if (is_broken_)
--- a/services/entry/src/reservation.cpp
+++ b/services/entry/src/reservation.cpp
@@ -29,7 +29,7 @@
     context_.ledger.add(server_, work_);
 }
 
-void reservation::memory_has_arrived()
+void reservation::on_kv_cache_received()
 {
     placement::work_size arrived;
     arrived.arriving_tokens = std::exchange(work_.arriving_tokens, 0);
@@ -38,7 +38,7 @@
         context_.on_work_added();
 }
 
-void reservation::prompt_is_read()
+void reservation::on_prefill_done()
 {
     placement::work_size read;
     read.unread_tokens = std::exchange(work_.unread_tokens, 0);
--- a/services/entry/src/retry_budgets.cpp
+++ b/services/entry/src/retry_budgets.cpp
@@ -24,7 +24,7 @@
 {}
 
 // Balances begin anew: what the old terms had saved up is not spent on top.
-void retry_budgets::set_terms(const entry_settings& settings)
+void retry_budgets::update_settings(const entry_settings& settings)
 {
     share_ = settings.retry_share * share_in_use;
     allowance_ = settings.retry_allowance;
@@ -32,7 +32,7 @@
     budgets_.clear();
 }
 
-void retry_budgets::set_hosts(std::size_t hosts)
+void retry_budgets::set_host_count(std::size_t hosts)
 {
     if (hosts <= hosts_)
         return;
@@ -60,7 +60,7 @@
     return budgets_.emplace(service, *budget).first->second;
 }
 
-void retry_budgets::first_attempt(
+void retry_budgets::record_first_attempt(
     const core::service_name& service, core::time_point now)
 {
     find_or_add(service, now).deposit(now);
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -46,7 +46,8 @@
         if (const auto kept = weak.lock())
             kept->caller_left();
     });
-    context_.budgets.first_attempt(call_->service.name, call_->arrival_time);
+    context_.budgets.record_first_attempt(
+        call_->service.name, call_->arrival_time);
     co_await start();
     leave_server();
 }
@@ -302,7 +303,7 @@
     }
     rhythm_.record_events(pace_.events - events_before, core::monotonic_now());
     if (pace_.events > 0 && reserved_) {
-        reserved_->prompt_is_read();
+        reserved_->on_prefill_done();
         reserved_->set_progress(moved_work().tokens, rhythm_.gaps());
     }
     if (ready.empty())
