--- a/services/entry/include/godwit/entry/call_messages.hpp
+++ b/services/entry/include/godwit/entry/call_messages.hpp
@@ -30,6 +30,6 @@
     const routed_call& call,
     telemetry::request_metrics& metrics,
     refusal_reason reason,
-    core::duration come_back_after);
+    core::duration retry_after);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/refusal.hpp
+++ b/services/entry/include/godwit/entry/refusal.hpp
@@ -34,11 +34,12 @@
 
 /// This host's own answer: a problem document (RFC 9457), with when to come
 /// back where that can help.
-[[nodiscard]] http::response make_refusal(
+[[nodiscard]] http::response make_refusal_response(
     refusal_reason reason,
-    std::optional<core::duration> come_back_after = std::nullopt);
+    std::optional<core::duration> retry_after = std::nullopt);
 
 /// The same for requests that the server of callers turned away.
-[[nodiscard]] http::response make_rejection_answer(const http::rejection& why);
+[[nodiscard]] http::response
+make_rejection_response(const http::rejection& why);
 
 } // namespace godwit::entry
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -22,7 +22,7 @@
 constexpr int patience_objectives = 2;
 constexpr core::duration shortest_patience = std::chrono::milliseconds(250);
 // When a caller that was told "no server" should come back.
-constexpr core::duration come_back_after = std::chrono::milliseconds(300);
+constexpr core::duration retry_after = std::chrono::milliseconds(300);
 // Servers that may turn one request away before it is given up.
 constexpr unsigned most_refusals = 3;
 constexpr unsigned first_server_error = 500;
@@ -275,7 +275,7 @@
 asio::awaitable<void> buffered_call::refuse(refusal_reason reason)
 {
     co_await refuse_call(
-        call_, metrics_, reason, std::max(come_back_after, limit_wait_));
+        call_, metrics_, reason, std::max(retry_after, limit_wait_));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/call_dispatcher.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -160,7 +160,7 @@
              outcome_of(reason)})
         .Increment();
     const bool can_come_back = reason == refusal_reason::no_routes;
-    http::response answer = make_refusal(
+    http::response answer = make_refusal_response(
         reason,
         can_come_back ? std::optional<core::duration>(start_come_back)
                       : std::nullopt);
--- a/services/entry/src/call_messages.cpp
+++ b/services/entry/src/call_messages.cpp
@@ -40,7 +40,7 @@
     const routed_call& call,
     telemetry::request_metrics& metrics,
     refusal_reason reason,
-    core::duration come_back_after)
+    core::duration retry_after)
 {
     const core::time_point now = core::monotonic_now();
     log_refused(
@@ -52,9 +52,9 @@
     metrics.finished(outcome_of(reason), now);
     const bool can_come_back = outcome_of(reason) == core::outcome::not_run &&
                                reason != refusal_reason::quarantined;
-    http::response answer = make_refusal(
+    http::response answer = make_refusal_response(
         reason,
-        can_come_back ? std::optional<core::duration>(come_back_after)
+        can_come_back ? std::optional<core::duration>(retry_after)
                       : std::nullopt);
     // A caller that is gone needs no answer.
     [[maybe_unused]] const auto sent =
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -63,7 +63,7 @@
         component,
         "rejected",
         {{"reason", http::to_string(why.reason)}, {"status", why.status}});
-    return make_rejection_answer(why);
+    return make_rejection_response(why);
 }
 
 } // namespace
--- a/services/entry/src/refusal.cpp
+++ b/services/entry/src/refusal.cpp
@@ -103,20 +103,20 @@
     }
 }
 
-http::response make_refusal(
-    refusal_reason reason, std::optional<core::duration> come_back_after)
+http::response make_refusal_response(
+    refusal_reason reason, std::optional<core::duration> retry_after)
 {
     http::response answer =
         problem(to_string(reason), core::to_string(outcome_of(reason)));
     answer.status = status_of(reason);
-    if (come_back_after)
-        answer.fields.set("Retry-After", seconds_text(*come_back_after));
+    if (retry_after)
+        answer.fields.set("Retry-After", seconds_text(*retry_after));
     if (reason == refusal_reason::unknown_key)
         answer.fields.set("WWW-Authenticate", "Bearer");
     return answer;
 }
 
-http::response make_rejection_answer(const http::rejection& why)
+http::response make_rejection_response(const http::rejection& why)
 {
     // A handler that failed may have sent the request before it did.
     const bool reached_handler =
--- a/tests/entry/refusal_test.cpp
+++ b/tests/entry/refusal_test.cpp
@@ -19,7 +19,7 @@
     static bool says(rejection_reason reason, const std::string& outcome)
     {
         const http::response answer =
-            entry::make_rejection_answer(http::make_rejection(reason));
+            entry::make_rejection_response(http::make_rejection(reason));
         return answer.body.find("\"outcome\":\"" + outcome + "\"") !=
                std::string::npos;
     }
