--- a/services/entry/include/godwit/entry/pause.hpp
+++ b/services/entry/include/godwit/entry/async_sleep.hpp
@@ -9,6 +9,6 @@
 
 /// Lets the coroutine go on after so long.
 boost::asio::awaitable<void>
-pause(boost::asio::any_io_executor executor, core::duration span);
+async_sleep(boost::asio::any_io_executor executor, core::duration span);
 
 } // namespace godwit::entry
--- a/services/entry/src/pause.cpp
+++ b/services/entry/src/async_sleep.cpp
@@ -1,5 +1,5 @@
 #include <godwit/core/timer.hpp>
-#include <godwit/entry/pause.hpp>
+#include <godwit/entry/async_sleep.hpp>
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -8,7 +8,8 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<void> pause(asio::any_io_executor executor, core::duration span)
+asio::awaitable<void>
+async_sleep(asio::any_io_executor executor, core::duration span)
 {
     core::timer timer(executor, span);
     boost::system::error_code ended;
--- a/services/entry/src/call_dispatcher.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -1,9 +1,9 @@
 #include <godwit/entry/call_dispatcher.hpp>
 
 #include <godwit/core/hash.hpp>
+#include <godwit/entry/async_sleep.hpp>
 #include <godwit/entry/buffered_call.hpp>
 #include <godwit/entry/call_log.hpp>
-#include <godwit/entry/pause.hpp>
 #include <godwit/entry/stream_call.hpp>
 
 #include <algorithm>
@@ -135,7 +135,7 @@
 {
     const core::time_point end = core::monotonic_now() + longest_table_wait;
     while (is_outdated() && core::monotonic_now() < end)
-        co_await pause(context_.executor, table_look);
+        co_await async_sleep(context_.executor, table_look);
 }
 
 asio::awaitable<void> call_dispatcher::refuse(
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -1,8 +1,8 @@
 #include <godwit/core/timer.hpp>
 #include <godwit/entry/migrator.hpp>
 
+#include <godwit/entry/async_sleep.hpp>
 #include <godwit/entry/call_log.hpp>
-#include <godwit/entry/pause.hpp>
 #include <godwit/entry/spawn.hpp>
 #include <godwit/http/fetch.hpp>
 #include <godwit/placement/zone_rebalancer.hpp>
@@ -119,7 +119,7 @@
     const placement::server_id& source = source_->server().id;
     turn_ = context_.copy_queue.enqueue(source, urgency_);
     while (!is_stopped_ && !context_.copy_queue.try_start(source, turn_))
-        co_await pause(context_.executor, turn_pause);
+        co_await async_sleep(context_.executor, turn_pause);
 }
 
 void migrator::end_turn()
@@ -141,7 +141,7 @@
         if (!choose_destination()) {
             if (!has_to_leave())
                 co_return;
-            co_await pause(context_.executor, retry_pause);
+            co_await async_sleep(context_.executor, retry_pause);
             continue;
         }
         const copies_outcome copied = co_await copy_while_running();
@@ -151,13 +151,13 @@
             claim_links(core::duration::zero());
             if (moved_)
                 co_return;
-            co_await pause(context_.executor, retry_pause);
+            co_await async_sleep(context_.executor, retry_pause);
         } else if (!has_to_leave() && !is_broken_) {
             co_return;
         } else if (copied == copies_outcome::not_begun) {
             // Others of this host can be copied meanwhile.
             end_turn();
-            co_await pause(context_.executor, retry_pause);
+            co_await async_sleep(context_.executor, retry_pause);
             co_await take_turn();
         }
     }
@@ -174,7 +174,7 @@
     const core::time_point end = core::monotonic_now() + longest_link_wait;
     while (!is_stopped_ && core::monotonic_now() < end &&
            context_.claims.is_claimed(links, core::monotonic_now()))
-        co_await pause(context_.executor, turn_pause);
+        co_await async_sleep(context_.executor, turn_pause);
 }
 
 void migrator::claim_links(core::duration hold)
@@ -263,7 +263,7 @@
             }
             [[fallthrough]];
         case copy_status::busy:
-            co_await pause(context_.executor, retry_pause);
+            co_await async_sleep(context_.executor, retry_pause);
             if (is_broken_ || core::monotonic_now() - began_ > longest_leaving)
                 co_return copies_outcome::broken;
             break;
--- a/services/entry/src/spawn.cpp
+++ b/services/entry/src/spawn.cpp
@@ -1,7 +1,7 @@
 #include <godwit/entry/spawn.hpp>
 
 #include <godwit/core/time.hpp>
-#include <godwit/entry/pause.hpp>
+#include <godwit/entry/async_sleep.hpp>
 #include <godwit/telemetry/log.hpp>
 
 #include <boost/asio/co_spawn.hpp>
@@ -42,8 +42,8 @@
         {{"name", name}, {"cause", text_of(failure)}});
 }
 
-asio::awaitable<void>
-run_on(asio::any_io_executor executor, std::string name, coroutine begin)
+asio::awaitable<void> run_on(
+    asio::any_io_executor executor, std::string name, coroutine_factory begin)
 {
     while (true) {
         std::exception_ptr failure;
@@ -55,7 +55,7 @@
         if (!failure)
             co_return;
         log_failed(name, failure);
-        co_await pause(executor, restart_pause);
+        co_await async_sleep(executor, restart_pause);
     }
 }
 
@@ -64,7 +64,7 @@
 void spawn(
     const asio::any_io_executor& executor,
     std::string name,
-    coroutine begin,
+    coroutine_factory begin,
     std::function<void()> at_end)
 {
     asio::co_spawn(
@@ -79,8 +79,10 @@
         });
 }
 
-void keep_running(
-    const asio::any_io_executor& executor, std::string name, coroutine begin)
+void spawn_with_restart(
+    const asio::any_io_executor& executor,
+    std::string name,
+    coroutine_factory begin)
 {
     asio::co_spawn(
         executor,
--- a/services/entry/src/table_intake.cpp
+++ b/services/entry/src/table_intake.cpp
@@ -25,9 +25,10 @@
         return;
     // An exception ends the reading of one table; the others are read after a
     // pause.
-    keep_running(executor_, "read_table", [this]() -> asio::awaitable<void> {
-        co_await run();
-    });
+    spawn_with_restart(
+        executor_, "read_table", [this]() -> asio::awaitable<void> {
+            co_await run();
+        });
 }
 
 asio::awaitable<void> table_intake::run()
--- a/tests/entry/spawn_test.cpp
+++ b/tests/entry/spawn_test.cpp
@@ -44,7 +44,7 @@
     {
         asio::io_context io{1};
         int begun = 0;
-        keep_running(
+        spawn_with_restart(
             io.get_executor(), "test", [&begun]() -> asio::awaitable<void> {
                 if (++begun < 3)
                     throw 3;
