--- a/services/entry/include/godwit/entry/work_words.hpp
+++ b/services/entry/include/godwit/entry/work_words.hpp
@@ -13,7 +13,7 @@
 to_wire(const placement::server_id& server, const placement::work_size& work);
 
 /// What another host told, as the ledger takes it.
-struct heard_work
+struct received_load
 {
     std::vector<placement::server_work> work;
     /// Gaps between events that no running streams can have. They are not
@@ -21,9 +21,11 @@
     /// slow one.
     std::size_t refused_gaps = 0;
 
-    friend bool operator==(const heard_work&, const heard_work&) = default;
+    friend bool
+    operator==(const received_load&, const received_load&) = default;
 };
 
-[[nodiscard]] heard_work to_ledger(const std::vector<wire::server_work>& said);
+[[nodiscard]] received_load
+from_wire(const std::vector<wire::server_work>& said);
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -313,7 +313,7 @@
 std::vector<placement::server_work> entry_process::believed(
     const core::host_name& host, const std::vector<wire::server_work>& said)
 {
-    heard_work heard = to_ledger(said);
+    received_load heard = from_wire(said);
     if (heard.refused_gaps == 0)
         return std::move(heard.work);
     context_.metrics
--- a/services/entry/src/work_words.cpp
+++ b/services/entry/src/work_words.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-bool has_possible_gaps(const wire::server_work& told)
+bool has_valid_gaps(const wire::server_work& told)
 {
     constexpr auto longest_ms = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -34,14 +34,14 @@
 
 } // namespace
 
-heard_work to_ledger(const std::vector<wire::server_work>& said)
+received_load from_wire(const std::vector<wire::server_work>& said)
 {
-    heard_work heard;
+    received_load heard;
     heard.work.reserve(said.size());
     for (const wire::server_work& one : said) {
         placement::work_size work{
             one.requests, one.tokens, one.unread_tokens, one.arriving_tokens};
-        if (has_possible_gaps(one))
+        if (has_valid_gaps(one))
             work.gaps = {one.paced_streams, one.gap_ms};
         else
             ++heard.refused_gaps;
--- a/tests/entry/crash_words_test.cpp
+++ b/tests/entry/crash_words_test.cpp
@@ -10,9 +10,9 @@
 using namespace godwit;
 using namespace godwit::entry;
 
-class crash_words_test : public CppUnit::TestFixture
+class crash_report_conversion_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(crash_words_test);
+    CPPUNIT_TEST_SUITE(crash_report_conversion_test);
     CPPUNIT_TEST(test_a_report_survives_a_round_trip);
     CPPUNIT_TEST(test_invalid_fingerprints_are_refused);
     CPPUNIT_TEST(test_crashes_without_a_server_are_refused);
@@ -57,6 +57,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(crash_words_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(crash_report_conversion_test);
 
 } // namespace
--- a/tests/entry/server_limit_words_test.cpp
+++ b/tests/entry/server_limit_words_test.cpp
@@ -10,9 +10,9 @@
 using namespace godwit;
 using namespace godwit::entry;
 
-class server_limit_words_test : public CppUnit::TestFixture
+class server_limit_exchange_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(server_limit_words_test);
+    CPPUNIT_TEST_SUITE(server_limit_exchange_test);
     CPPUNIT_TEST(test_a_limit_survives_a_round_trip);
     CPPUNIT_TEST(test_invalid_limits_are_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -57,6 +57,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(server_limit_words_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(server_limit_exchange_test);
 
 } // namespace
