--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -269,7 +269,7 @@
     list_readers readers_;
     wire::host_work told_work_;
     core::time_point told_work_at_{};
-    cell_report cell_report_;
+    cell_load_reporter load_reporter_;
     core::time_point told_cell_at_{};
     core::time_point told_reader_at_{};
     report_poller reports_;
--- a/services/entry/src/cell_report.cpp
+++ b/services/entry/src/cell_report.cpp
@@ -10,69 +10,71 @@
 
 using placement::work_size;
 
-bool is_news(const work_size& told, const work_size& now)
+bool is_changed(const work_size& reported, const work_size& now)
 {
-    const std::uint64_t growth = told.tokens < now.tokens
-                                     ? now.tokens - told.tokens
-                                     : told.tokens - now.tokens;
-    return told.requests != now.requests ||
-           told.unread_tokens != now.unread_tokens ||
-           told.arriving_tokens != now.arriving_tokens ||
-           placement::differ_significantly(told.gaps, now.gaps) ||
-           growth >= cell_report::told_growth;
+    const std::uint64_t growth = reported.tokens < now.tokens
+                                     ? now.tokens - reported.tokens
+                                     : reported.tokens - now.tokens;
+    return reported.requests != now.requests ||
+           reported.unread_tokens != now.unread_tokens ||
+           reported.arriving_tokens != now.arriving_tokens ||
+           placement::differ_significantly(reported.gaps, now.gaps) ||
+           growth >= cell_load_reporter::min_reported_growth;
 }
 
 } // namespace
 
-std::optional<wire::cell_work> cell_report::next(
+std::optional<wire::cell_work> cell_load_reporter::next(
     const placement::host_group& cell,
     const std::vector<placement::server_work>& sums,
     core::time_point now)
 {
     // Nobody has heard the sums of this cell, if the host came into another.
     if (cell != cell_)
-        told_.clear();
+        reported_.clear();
     cell_ = cell;
-    wire::cell_work said;
-    said.cell = cell.value();
-    said.is_whole = told_.empty() || now - whole_told_at_ >= whole_pace;
+    wire::cell_work report;
+    report.cell = cell.value();
+    report.is_whole =
+        reported_.empty() || now - full_report_at_ >= full_report_interval;
     std::map<placement::server_id, work_size> kept;
     for (const auto& [server, work] : sums) {
-        const auto before = told_.find(server);
-        const bool is_told = said.is_whole || before == told_.end() ||
-                             is_news(before->second, work);
-        kept.emplace(server, is_told ? work : before->second);
-        if (is_told)
-            said.work.push_back(to_wire(server, work));
-        if (before != told_.end())
-            told_.erase(before);
+        const auto before = reported_.find(server);
+        const bool is_reported = report.is_whole || before == reported_.end() ||
+                                 is_changed(before->second, work);
+        kept.emplace(server, is_reported ? work : before->second);
+        if (is_reported)
+            report.work.push_back(to_wire(server, work));
+        if (before != reported_.end())
+            reported_.erase(before);
     }
     // What is left has no work any more.
-    if (!said.is_whole) {
-        for (const auto& [server, work] : told_)
-            said.work.push_back(to_wire(server, work_size()));
+    if (!report.is_whole) {
+        for (const auto& [server, work] : reported_)
+            report.work.push_back(to_wire(server, work_size()));
     }
-    told_ = std::move(kept);
-    if (said.is_whole)
-        whole_told_at_ = now;
-    const bool is_silent = said.work.empty() && !said.is_whole;
-    if (is_silent && told_at_ && now - *told_at_ < longest_silence)
+    reported_ = std::move(kept);
+    if (report.is_whole)
+        full_report_at_ = now;
+    const bool is_unchanged = report.work.empty() && !report.is_whole;
+    if (is_unchanged && last_report_at_ &&
+        now - *last_report_at_ < max_report_interval)
         return std::nullopt;
-    told_at_ = now;
-    return said;
+    last_report_at_ = now;
+    return report;
 }
 
 std::optional<wire::cell_work>
-cell_report::whole(const placement::host_group& cell) const
+cell_load_reporter::full(const placement::host_group& cell) const
 {
-    if (!told_at_ || cell != cell_)
+    if (!last_report_at_ || cell != cell_)
         return std::nullopt;
-    wire::cell_work said;
-    said.cell = cell.value();
-    said.is_whole = true;
-    for (const auto& [server, work] : told_)
-        said.work.push_back(to_wire(server, work));
-    return said;
+    wire::cell_work report;
+    report.cell = cell.value();
+    report.is_whole = true;
+    for (const auto& [server, work] : reported_)
+        report.work.push_back(to_wire(server, work));
+    return report;
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -67,7 +67,7 @@
         said.emplace_back(limits_to_tell());
     // Afterwards it hears what changes.
     if (!neighbours_->is_cell_mate(peer.host)) {
-        if (auto sums = cell_report_.whole(neighbours_->cell()))
+        if (auto sums = load_reporter_.full(neighbours_->cell()))
             said.emplace_back(std::move(*sums));
     }
     return said;
@@ -151,13 +151,14 @@
         said.work.clear();
         neighbours_->broadcast(said, audience::others);
     }
-    const bool is_due = now - told_cell_at_ >= cell_report::pace;
+    const bool is_due =
+        now - told_cell_at_ >= cell_load_reporter::report_interval;
     if (!is_due || neighbours_->cell().empty() ||
         2 * context_.ledger.active_neighbours(now) <
             neighbours_->cell_mates().size())
         return;
     told_cell_at_ = now;
-    const auto said = cell_report_.next(
+    const auto said = load_reporter_.next(
         neighbours_->cell(), context_.ledger.own_and_neighbours(now), now);
     if (said)
         neighbours_->broadcast(*said, audience::others);
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -251,7 +251,7 @@
 
     void test_a_cell_tells_what_changed()
     {
-        cell_report report;
+        cell_load_reporter report;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         const server_id two("i-2");
@@ -275,10 +275,10 @@
 
     void test_a_cell_is_never_silent_for_long()
     {
-        cell_report report;
+        cell_load_reporter report;
         const placement::host_group cell("east/0");
         const sums unchanged{{server_id("i-1"), {1, 3000, 0}}};
-        CPPUNIT_ASSERT(!report.whole(cell));
+        CPPUNIT_ASSERT(!report.full(cell));
         CPPUNIT_ASSERT(report.next(cell, unchanged, at_ms(1000))->is_whole);
         CPPUNIT_ASSERT(!report.next(cell, unchanged, at_ms(1400)));
         const auto sign = report.next(cell, unchanged, at_ms(1500));
@@ -290,7 +290,7 @@
     // A new link begins with what the changes that follow are told against.
     void test_a_new_listener_gets_all_that_was_told()
     {
-        cell_report report;
+        cell_load_reporter report;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         const server_id two("i-2");
@@ -298,7 +298,7 @@
             cell, sums{{one, {1, 3000, 0}}, {two, {1, 2000, 0}}}, at_ms(1000));
         // Growth that waits is not told yet.
         (void)report.next(cell, sums{{one, {1, 3100, 0}}}, at_ms(1100));
-        const auto whole = report.whole(cell);
+        const auto whole = report.full(cell);
         CPPUNIT_ASSERT(whole && whole->is_whole);
         const std::vector<wire::server_work> expected{{"i-1", 1, 3000, 0}};
         CPPUNIT_ASSERT(whole->work == expected);
@@ -306,11 +306,11 @@
 
     void test_a_host_in_another_cell_tells_all()
     {
-        cell_report report;
+        cell_load_reporter report;
         const sums unchanged{{server_id("i-1"), {1, 3000, 0}}};
         (void)report.next(
             placement::host_group("east/0"), unchanged, at_ms(1000));
-        CPPUNIT_ASSERT(!report.whole(placement::host_group("east/1")));
+        CPPUNIT_ASSERT(!report.full(placement::host_group("east/1")));
         const auto said = report.next(
             placement::host_group("east/1"), unchanged, at_ms(1100));
         CPPUNIT_ASSERT(said && said->is_whole && said->cell == "east/1");
@@ -318,7 +318,7 @@
 
     void test_a_cell_tells_what_is_on_its_way()
     {
-        cell_report report;
+        cell_load_reporter report;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         const auto first =
@@ -335,7 +335,7 @@
 
     void test_growth_adds_up_until_it_is_told()
     {
-        cell_report report;
+        cell_load_reporter report;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         (void)report.next(cell, sums{{one, {1, 3000, 0}}}, at_ms(0));
@@ -347,7 +347,7 @@
 
     void test_a_cell_tells_everything_now_and_then()
     {
-        cell_report report;
+        cell_load_reporter report;
         const placement::host_group cell("east/0");
         const sums work{{server_id("i-1"), {1, 3000, 0}}};
         CPPUNIT_ASSERT(report.next(cell, work, at_ms(1000))->is_whole);
