--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -119,7 +119,7 @@
     /// its own.
     [[nodiscard]] bool is_large_fleet() const noexcept
     {
-        return fleet_size_ > full_mesh;
+        return fleet_size_ > max_full_mesh_hosts;
     }
 
     /// How many entry hosts are known.
--- a/services/entry/include/godwit/entry/host_cell.hpp
+++ b/services/entry/include/godwit/entry/host_cell.hpp
@@ -19,14 +19,15 @@
 };
 
 /// The cells of a fleet, the same at each host that knows the same hosts. Up
-/// to `full_mesh` hosts are one cell; beyond, a cell has at most `cell_size`
-/// hosts, of one zone.
-[[nodiscard]] std::vector<host_cell> cells_of(std::vector<known_host> hosts);
+/// to `max_full_mesh_hosts` hosts are one cell; beyond, a cell has at most
+/// `max_cell_hosts` hosts, of one zone.
+[[nodiscard]] std::vector<host_cell>
+divide_into_cells(std::vector<known_host> hosts);
 
 /// Fleets up to this size are linked pairwise.
-inline constexpr std::size_t full_mesh = 9;
+inline constexpr std::size_t max_full_mesh_hosts = 9;
 
 /// Hosts of one zone that are linked pairwise.
-inline constexpr std::size_t cell_size = 32;
+inline constexpr std::size_t max_cell_hosts = 32;
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/neighbour_choice.hpp
+++ b/services/entry/include/godwit/entry/neighbour_choice.hpp
@@ -12,7 +12,7 @@
 /// cells tell their sums. With few cells a second counterpart stands in for
 /// the first. News reaches everybody in three steps, and a host's work grows
 /// with the number of cells alone.
-[[nodiscard]] std::vector<known_host> choose_neighbours(
+[[nodiscard]] std::vector<known_host> select_neighbours(
     const std::vector<host_cell>& cells, const core::host_name& self);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/neighbour_links.hpp
+++ b/services/entry/include/godwit/entry/neighbour_links.hpp
@@ -74,12 +74,12 @@
 
     /// Whether the host is of the own cell. Until the hosts are known,
     /// everybody is.
-    [[nodiscard]] bool is_cell_mate(const core::host_name& host) const;
+    [[nodiscard]] bool is_cell_peer(const core::host_name& host) const;
 
     /// The other hosts of the own cell.
-    [[nodiscard]] const std::set<core::host_name>& cell_mates() const noexcept
+    [[nodiscard]] const std::set<core::host_name>& cell_peers() const noexcept
     {
-        return mates_;
+        return cell_peers_;
     }
 
     /// An open link to the host, or null.
@@ -87,7 +87,7 @@
     link_to(const core::host_name& host) const;
 
     /// Number of hosts of the own cell with an open link.
-    [[nodiscard]] std::size_t linked_cell_mates() const;
+    [[nodiscard]] std::size_t linked_cell_peers() const;
 
     /// Neighbours whose links are open.
     [[nodiscard]] std::size_t open_links() const { return links().size(); }
@@ -113,7 +113,7 @@
     std::shared_ptr<wire::acceptor> acceptor_;
     std::map<http::endpoint, std::shared_ptr<wire::connector>> connectors_;
     placement::host_group cell_;
-    std::set<core::host_name> mates_;
+    std::set<core::host_name> cell_peers_;
 };
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -343,7 +343,7 @@
     // one now would count twice, with that cell's sums, and engines with room
     // would look full.
     if (!neighbours_->cell().empty())
-        context_.ledger.retain_neighbours(neighbours_->cell_mates());
+        context_.ledger.retain_neighbours(neighbours_->cell_peers());
     const auto is_unknown = [&hosts](const core::host_name& host) {
         return std::none_of(
             hosts.begin(), hosts.end(), [&host](const known_host& known) {
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -53,7 +53,7 @@
             log_server_limit(host.value(), *limit);
             tell_limit(*limit, 0);
         }
-        if (received.sends > 0 && neighbours_->is_cell_mate(host))
+        if (received.sends > 0 && neighbours_->is_cell_peer(host))
             context_.limits.record_requests(limit->server, received.sends, now);
     }
 }
@@ -81,7 +81,7 @@
         return;
     const std::size_t fleet_size =
         is_fleet_known_ ? fleet_size_ : assumed_fleet_size;
-    context_.limits.set_hosts(1 + neighbours_->linked_cell_mates(), fleet_size);
+    context_.limits.set_hosts(1 + neighbours_->linked_cell_peers(), fleet_size);
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -66,7 +66,7 @@
     if (!context_.limits.empty())
         said.emplace_back(limits_to_tell());
     // Afterwards it hears what changes.
-    if (!neighbours_->is_cell_mate(peer.host)) {
+    if (!neighbours_->is_cell_peer(peer.host)) {
         if (auto sums = load_reporter_.full(neighbours_->cell()))
             said.emplace_back(std::move(*sums));
     }
@@ -155,7 +155,7 @@
         now - told_cell_at_ >= cell_load_reporter::report_interval;
     if (!is_due || neighbours_->cell().empty() ||
         2 * context_.ledger.active_neighbours(now) <
-            neighbours_->cell_mates().size())
+            neighbours_->cell_peers().size())
         return;
     told_cell_at_ = now;
     const auto said = load_reporter_.next(
@@ -284,7 +284,7 @@
 
 std::size_t entry_process::rank_in_cell() const
 {
-    const auto& mates = neighbours_->cell_mates();
+    const auto& mates = neighbours_->cell_peers();
     return static_cast<std::size_t>(std::distance(
         mates.begin(), mates.lower_bound(context_.settings.host)));
 }
@@ -292,7 +292,7 @@
 bool entry_process::may_leave_list_to_others() const
 {
     const core::time_point now = core::monotonic_now();
-    const auto& mates = neighbours_->cell_mates();
+    const auto& mates = neighbours_->cell_peers();
     if (!is_large_fleet())
         return false;
     return outage_.is_current() ? readers_.is_preceded_by(mates, now)
@@ -340,7 +340,7 @@
     if (said.reads_list)
         outage_.neighbour_reads(core::monotonic_now());
     // The greeting of a host of another cell: its cell's sums hold its work.
-    if (!neighbours_->is_cell_mate(host))
+    if (!neighbours_->is_cell_peer(host))
         return;
     context_.ledger.update_from_neighbour(host, work, core::monotonic_now());
 }
--- a/services/entry/src/host_cell.cpp
+++ b/services/entry/src/host_cell.cpp
@@ -15,9 +15,10 @@
     std::vector<host_cell>& cells)
 {
     std::size_t number = 0;
-    for (std::size_t first = 0; first < hosts.size(); first += cell_size) {
+    for (std::size_t first = 0; first < hosts.size(); first += max_cell_hosts) {
         const auto begin = hosts.begin() + static_cast<std::ptrdiff_t>(first);
-        const std::size_t count = std::min(cell_size, hosts.size() - first);
+        const std::size_t count =
+            std::min(max_cell_hosts, hosts.size() - first);
         cells.push_back(host_cell{
             placement::host_group(zone.value() + "/" + std::to_string(number)),
             {begin, begin + static_cast<std::ptrdiff_t>(count)}});
@@ -27,10 +28,10 @@
 
 } // namespace
 
-std::vector<host_cell> cells_of(std::vector<known_host> hosts)
+std::vector<host_cell> divide_into_cells(std::vector<known_host> hosts)
 {
     std::sort(hosts.begin(), hosts.end());
-    if (hosts.size() <= full_mesh)
+    if (hosts.size() <= max_full_mesh_hosts)
         return {host_cell{placement::host_group("all"), std::move(hosts)}};
     std::map<core::zone_name, std::vector<known_host>> zones;
     for (known_host& host : hosts)
--- a/services/entry/src/neighbour_choice.cpp
+++ b/services/entry/src/neighbour_choice.cpp
@@ -10,15 +10,15 @@
 
 // Fleets with more cells have links enough on which news goes round; links
 // have their price in memory and processor time.
-constexpr std::size_t most_cells_with_spares = 8;
+constexpr std::size_t max_cells_with_spares = 8;
 
-struct place_in_cells
+struct cell_position
 {
     std::size_t cell = 0;
     std::size_t member = 0;
 };
 
-std::optional<place_in_cells>
+std::optional<cell_position>
 find(const std::vector<host_cell>& cells, const core::host_name& self)
 {
     for (std::size_t cell = 0; cell < cells.size(); ++cell) {
@@ -28,7 +28,7 @@
                 return host.name == self;
             });
         if (found != members.end())
-            return place_in_cells{
+            return cell_position{
                 cell, static_cast<std::size_t>(found - members.begin())};
     }
     return std::nullopt;
@@ -36,7 +36,7 @@
 
 // Of two cells one opens the links between counterparts: every second one of
 // the cells after it and before it, so that no host opens most of them.
-bool opens(std::size_t own, std::size_t other)
+bool opens_link(std::size_t own, std::size_t other)
 {
     const bool is_even = (own + other) % 2 == 0;
     return is_even == (own < other);
@@ -44,7 +44,7 @@
 
 } // namespace
 
-std::vector<known_host> choose_neighbours(
+std::vector<known_host> select_neighbours(
     const std::vector<host_cell>& cells, const core::host_name& self)
 {
     const auto own = find(cells, self);
@@ -66,9 +66,9 @@
         // In a smaller cell one host is the counterpart of several; each of
         // them opens its link.
         const auto& members = cells[cell].members;
-        if (opens(own->cell, cell) || own->member >= members.size())
+        if (opens_link(own->cell, cell) || own->member >= members.size())
             add(members, own->member);
-        if (cells.size() <= most_cells_with_spares)
+        if (cells.size() <= max_cells_with_spares)
             add(members, own->member + 1);
     }
     return chosen;
--- a/services/entry/src/neighbour_links.cpp
+++ b/services/entry/src/neighbour_links.cpp
@@ -164,10 +164,10 @@
 
 void neighbour_links::set_hosts(const std::vector<known_host>& hosts)
 {
-    const std::vector<host_cell> cells = cells_of(hosts);
+    const std::vector<host_cell> cells = divide_into_cells(hosts);
     note_cell(cells);
     std::set<http::endpoint> wanted;
-    for (const known_host& chosen : choose_neighbours(cells, settings_.host))
+    for (const known_host& chosen : select_neighbours(cells, settings_.host))
         wanted.insert(chosen.address);
     for (auto at = connectors_.begin(); at != connectors_.end();) {
         if (wanted.contains(at->first)) {
@@ -185,7 +185,7 @@
 void neighbour_links::note_cell(const std::vector<host_cell>& cells)
 {
     cell_ = placement::host_group();
-    mates_.clear();
+    cell_peers_.clear();
     for (const host_cell& each : cells) {
         std::set<core::host_name> names;
         for (const known_host& member : each.members)
@@ -193,13 +193,13 @@
         if (names.erase(settings_.host) == 0)
             continue;
         cell_ = each.name;
-        mates_ = std::move(names);
+        cell_peers_ = std::move(names);
     }
 }
 
-bool neighbour_links::is_cell_mate(const core::host_name& host) const
+bool neighbour_links::is_cell_peer(const core::host_name& host) const
 {
-    return cell_.empty() || mates_.contains(host);
+    return cell_.empty() || cell_peers_.contains(host);
 }
 
 // Those that are open, kept apart: a link whose peer does not read closes when
@@ -218,11 +218,11 @@
     return open;
 }
 
-std::size_t neighbour_links::linked_cell_mates() const
+std::size_t neighbour_links::linked_cell_peers() const
 {
     std::set<core::host_name> linked;
     for (const auto& link : links()) {
-        if (is_cell_mate(link->peer()->host))
+        if (is_cell_peer(link->peer()->host))
             linked.insert(link->peer()->host);
     }
     return linked.size();
@@ -232,7 +232,7 @@
 {
     if (meant == audience::everybody)
         return true;
-    return is_cell_mate(link.peer()->host) == (meant == audience::cell);
+    return is_cell_peer(link.peer()->host) == (meant == audience::cell);
 }
 
 void neighbour_links::broadcast(const wire::message& said, audience meant)
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -163,7 +163,7 @@
         std::set<std::pair<std::string, std::string>> pairs;
         for (const auto& self : hosts) {
             for (const auto& other :
-                 choose_neighbours(cells_of(hosts), self.name)) {
+                 select_neighbours(divide_into_cells(hosts), self.name)) {
                 CPPUNIT_ASSERT(
                     !pairs.contains({other.name.value(), self.name.value()}));
                 pairs.insert({self.name.value(), other.name.value()});
@@ -171,7 +171,8 @@
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{15}, pairs.size());
         CPPUNIT_ASSERT(
-            choose_neighbours(cells_of(hosts), core::host_name("x")).empty());
+            select_neighbours(divide_into_cells(hosts), core::host_name("x"))
+                .empty());
     }
 
     void test_news_reaches_large_fleets_in_few_steps()
@@ -180,14 +181,15 @@
         std::map<std::string, std::set<std::string>> links;
         std::size_t most = 0;
         for (const auto& self : hosts) {
-            const auto chosen = choose_neighbours(cells_of(hosts), self.name);
+            const auto chosen =
+                select_neighbours(divide_into_cells(hosts), self.name);
             most = std::max(most, chosen.size());
             for (const auto& other : chosen) {
                 links[self.name.value()].insert(other.name.value());
                 links[other.name.value()].insert(self.name.value());
             }
         }
-        CPPUNIT_ASSERT(most <= cell_size - 1 + 8);
+        CPPUNIT_ASSERT(most <= max_cell_hosts - 1 + 8);
         std::set<std::string> reached{hosts.front().name.value()};
         int steps = 0;
         while (reached.size() < hosts.size()) {
@@ -201,12 +203,13 @@
 
     void test_cells_are_of_one_zone_and_cover_the_fleet()
     {
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cells_of(fleet(9)).size());
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, divide_into_cells(fleet(9)).size());
         std::set<std::string> names;
         std::set<std::string> hosts;
-        for (const host_cell& cell : cells_of(fleet(100))) {
+        for (const host_cell& cell : divide_into_cells(fleet(100))) {
             CPPUNIT_ASSERT(names.insert(cell.name.value()).second);
-            CPPUNIT_ASSERT(cell.members.size() <= cell_size);
+            CPPUNIT_ASSERT(cell.members.size() <= max_cell_hosts);
             for (const known_host& host : cell.members) {
                 CPPUNIT_ASSERT(host.zone == cell.members.front().zone);
                 CPPUNIT_ASSERT(hosts.insert(host.name.value()).second);
@@ -219,12 +222,12 @@
     void test_every_host_is_linked_with_every_cell()
     {
         for (const int size : {10, 30, 83, 300}) {
-            const auto cells = cells_of(fleet(size));
+            const auto cells = divide_into_cells(fleet(size));
             std::map<std::string, std::set<std::string>> heard;
             for (const host_cell& cell : cells) {
                 for (const known_host& self : cell.members) {
                     for (const auto& other :
-                         choose_neighbours(cells, self.name)) {
+                         select_neighbours(cells, self.name)) {
                         heard[self.name.value()].insert(
                             cell_name(cells, other));
                         heard[other.name.value()].insert(cell.name.value());
