--- a/services/entry/include/godwit/entry/neighbour_links.hpp
+++ b/services/entry/include/godwit/entry/neighbour_links.hpp
@@ -22,7 +22,8 @@
 struct neighbour_handlers
 {
     /// What this neighbour should know at once, now that its link is open.
-    std::function<std::vector<wire::message>(const wire::hello&)> on_greeting;
+    std::function<std::vector<wire::message>(const wire::hello&)>
+        initial_messages;
     /// A neighbour said something over its link, which is introduced.
     std::function<void(const std::shared_ptr<wire::link>&, wire::message)>
         on_message;
@@ -31,9 +32,9 @@
 /// Who is told something.
 enum class audience
 {
-    everybody,
-    cell,   ///< The hosts of the own cell.
-    others, ///< The hosts of other cells.
+    all,
+    cell,        ///< The hosts of the own cell.
+    other_cells, ///< The hosts of other cells.
 };
 
 /// The links to some other entry hosts. Each is on its own: a neighbour that
@@ -63,8 +64,8 @@
     void set_hosts(const std::vector<known_host>& hosts);
 
     /// Sends to the neighbours of the audience whose links are open.
-    void
-    broadcast(const wire::message& said, audience meant = audience::everybody);
+    void broadcast(
+        const wire::message& message, audience recipients = audience::all);
 
     /// The own cell's name; empty until the hosts are known.
     [[nodiscard]] const placement::host_group& cell() const noexcept
@@ -99,12 +100,13 @@
         neighbour_handlers handlers);
 
     [[nodiscard]] core::result<void> listen();
-    [[nodiscard]] wire::hello introduction() const;
-    [[nodiscard]] wire::link_handlers watch() const;
+    [[nodiscard]] wire::hello own_hello() const;
+    [[nodiscard]] wire::link_handlers link_callbacks() const;
     void connect(const http::endpoint& address);
-    void note_cell(const std::vector<host_cell>& cells);
+    void update_cell(const std::vector<host_cell>& cells);
     [[nodiscard]] std::vector<std::shared_ptr<wire::link>> links() const;
-    [[nodiscard]] bool is_meant(const wire::link& link, audience meant) const;
+    [[nodiscard]] bool
+    is_in_audience(const wire::link& link, audience recipients) const;
 
     boost::asio::any_io_executor executor_;
     const entry_settings& settings_;
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -27,7 +27,7 @@
 {
     neighbours_->broadcast(
         wire::server_limits{{to_wire(limit, sends, core::monotonic_now())}},
-        sends > 0 ? audience::cell : audience::everybody);
+        sends > 0 ? audience::cell : audience::all);
 }
 
 wire::server_limits entry_process::limits_to_tell() const
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -149,7 +149,7 @@
         told_reader_at_ = now;
         wire::host_work said = work_to_tell();
         said.work.clear();
-        neighbours_->broadcast(said, audience::others);
+        neighbours_->broadcast(said, audience::other_cells);
     }
     const bool is_due =
         now - told_cell_at_ >= cell_load_reporter::report_interval;
@@ -161,7 +161,7 @@
     const auto said = load_reporter_.next(
         neighbours_->cell(), context_.ledger.own_and_neighbours(now), now);
     if (said)
-        neighbours_->broadcast(*said, audience::others);
+        neighbours_->broadcast(*said, audience::other_cells);
 }
 
 // At once, so that hosts which choose within milliseconds of each other do
--- a/services/entry/src/neighbour_links.cpp
+++ b/services/entry/src/neighbour_links.cpp
@@ -51,12 +51,12 @@
     const entry_settings& settings,
     neighbour_handlers handlers)
 {
-    std::unique_ptr<neighbour_links> made(
+    std::unique_ptr<neighbour_links> created(
         new neighbour_links(executor, settings, std::move(handlers)));
-    const auto listening = made->listen();
+    const auto listening = created->listen();
     if (!listening)
         return tl::unexpected(listening.error());
-    return made;
+    return created;
 }
 
 neighbour_links::neighbour_links(
@@ -81,12 +81,12 @@
         executor_,
         to_tcp(settings_.neighbours),
         link_options(),
-        [this] { return introduction(); },
-        watch()));
+        [this] { return own_hello(); },
+        link_callbacks()));
     return {};
 }
 
-wire::hello neighbour_links::introduction() const
+wire::hello neighbour_links::own_hello() const
 {
     return wire::hello{
         .version = wire::protocol_version,
@@ -97,7 +97,7 @@
         .address = settings_.neighbours.to_string()};
 }
 
-wire::link_handlers neighbour_links::watch() const
+wire::link_handlers neighbour_links::link_callbacks() const
 {
     wire::link_handlers handlers;
     handlers.on_open = [this](const auto& link, const wire::hello& peer) {
@@ -106,11 +106,11 @@
             component,
             "neighbour_linked",
             {{"neighbour", peer.host}, {"zone", peer.zone}});
-        for (const wire::message& said : handlers_.on_greeting(peer))
-            link->send(said);
+        for (const wire::message& message : handlers_.initial_messages(peer))
+            link->send(message);
     };
-    handlers.on_message = [this](const auto& link, wire::message said) {
-        handlers_.on_message(link, std::move(said));
+    handlers.on_message = [this](const auto& link, wire::message message) {
+        handlers_.on_message(link, std::move(message));
     };
     handlers.on_close = [](const auto& link, const core::error& why) {
         if (!link->peer())
@@ -142,30 +142,30 @@
 {
     if (connectors_.contains(address))
         return;
-    auto made = wire::connector::create(
+    auto created = wire::connector::create(
         executor_,
         to_tcp(address),
         link_options(),
-        [this] { return introduction(); },
-        watch(),
+        [this] { return own_hello(); },
+        link_callbacks(),
         core::stable_hash(incarnation_ + address.to_string()));
-    if (!made) {
+    if (!created) {
         log_event(
             log_level::error,
             component,
             "connector_refused",
             {{"address", address.to_string()},
-             {"cause", made.error().to_string()}});
+             {"cause", created.error().to_string()}});
         return;
     }
-    (*made)->start();
-    connectors_.emplace(address, *made);
+    (*created)->start();
+    connectors_.emplace(address, *created);
 }
 
 void neighbour_links::set_hosts(const std::vector<known_host>& hosts)
 {
     const std::vector<host_cell> cells = divide_into_cells(hosts);
-    note_cell(cells);
+    update_cell(cells);
     std::set<http::endpoint> wanted;
     for (const known_host& chosen : select_neighbours(cells, settings_.host))
         wanted.insert(chosen.address);
@@ -182,7 +182,7 @@
 }
 
 // A host that is not listed itself yet takes everybody for its cell.
-void neighbour_links::note_cell(const std::vector<host_cell>& cells)
+void neighbour_links::update_cell(const std::vector<host_cell>& cells)
 {
     cell_ = placement::host_group();
     cell_peers_.clear();
@@ -228,18 +228,20 @@
     return linked.size();
 }
 
-bool neighbour_links::is_meant(const wire::link& link, audience meant) const
+bool neighbour_links::is_in_audience(
+    const wire::link& link, audience recipients) const
 {
-    if (meant == audience::everybody)
+    if (recipients == audience::all)
         return true;
-    return is_cell_peer(link.peer()->host) == (meant == audience::cell);
+    return is_cell_peer(link.peer()->host) == (recipients == audience::cell);
 }
 
-void neighbour_links::broadcast(const wire::message& said, audience meant)
+void neighbour_links::broadcast(
+    const wire::message& message, audience recipients)
 {
     for (const auto& link : links()) {
-        if (is_meant(*link, meant))
-            link->send(said);
+        if (is_in_audience(*link, recipients))
+            link->send(message);
     }
 }
 
