--- a/services/entry/include/godwit/entry/link_claims.hpp
+++ b/services/entry/include/godwit/entry/link_claims.hpp
@@ -16,7 +16,7 @@
 {
 public:
     /// `host` needs the links until `until`; replaces its earlier claim.
-    void hear(
+    void update(
         const core::host_name& host,
         std::vector<placement::server_id> servers,
         core::time_point until);
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -213,7 +213,7 @@
     std::vector<placement::server_id> servers;
     for (const std::string& id : said.servers)
         servers.emplace_back(id);
-    context_.claims.hear(
+    context_.claims.update(
         host, std::move(servers), core::monotonic_now() + hold);
 }
 
--- a/services/entry/src/link_claims.cpp
+++ b/services/entry/src/link_claims.cpp
@@ -5,7 +5,7 @@
 
 namespace godwit::entry {
 
-void link_claims::hear(
+void link_claims::update(
     const core::host_name& host,
     std::vector<placement::server_id> servers,
     core::time_point until)
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -361,12 +361,12 @@
     void test_claims_hold_up_others_until_they_end()
     {
         link_claims claims;
-        claims.hear(
+        claims.update(
             core::host_name("a"), {server_id("s"), server_id("d")}, at_ms(100));
         CPPUNIT_ASSERT(claims.is_claimed({server_id("d")}, at_ms(99)));
         CPPUNIT_ASSERT(!claims.is_claimed({server_id("e")}, at_ms(99)));
         CPPUNIT_ASSERT(!claims.is_claimed({server_id("d")}, at_ms(100)));
-        claims.hear(core::host_name("a"), {server_id("d")}, at_ms(50));
+        claims.update(core::host_name("a"), {server_id("d")}, at_ms(50));
         CPPUNIT_ASSERT(!claims.is_claimed({server_id("d")}, at_ms(60)));
     }
 
