--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -274,7 +274,7 @@
     core::time_point told_reader_at_{};
     report_poller reports_;
     core::time_point polled_at_{};
-    list_outage outage_;
+    server_list_outage outage_;
     std::set<placement::server_id> changed_servers_; ///< Not told yet.
     core::time_point compared_at_{};
     std::set<core::host_name> false_gaps_from_; ///< Hosts that were logged.
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -271,7 +271,7 @@
 {
     const core::time_point now = core::monotonic_now();
     const auto change =
-        context_.directory.delisted(server, outage_.source(now), now);
+        context_.directory.delisted(server, outage_.state_at(now), now);
     if (change == placement::directory_change::left)
         left(server, source);
 }
@@ -299,7 +299,7 @@
     if (!is_current)
         readers_.cannot_read();
     const bool is_steady =
-        outage_.source(now) == placement::source_state::steady;
+        outage_.state_at(now) == placement::source_state::steady;
     log_event(
         log_level::info,
         component,
@@ -314,7 +314,7 @@
 
 void entry_process::source_was_restored()
 {
-    outage_.restored(core::monotonic_now());
+    outage_.record_restore(core::monotonic_now());
 }
 
 void entry_process::servers_are_known(std::string_view source)
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -338,7 +338,7 @@
     const auto work = believed(host, said.work);
     hear_reader(host, said);
     if (said.reads_list)
-        outage_.neighbour_reads(core::monotonic_now());
+        outage_.record_neighbour_read(core::monotonic_now());
     // The greeting of a host of another cell: its cell's sums hold its work.
     if (!neighbours_->is_cell_peer(host))
         return;
--- a/services/entry/src/list_outage.cpp
+++ b/services/entry/src/list_outage.cpp
@@ -2,7 +2,7 @@
 
 namespace godwit::entry {
 
-void list_outage::set_current(bool is_current, core::time_point now)
+void server_list_outage::set_current(bool is_current, core::time_point now)
 {
     if (is_current == is_current_)
         return;
@@ -13,27 +13,28 @@
         return;
     }
     const bool others_were_served =
-        others_served_at_ && *others_served_at_ + return_notice <= now;
+        others_served_at_ &&
+        *others_served_at_ + recovery_detection_skew <= now;
     if (lost_at_ && !others_were_served)
-        disturbed_until_ = now + disturbed_time;
+        recovering_until_ = now + recovery_period;
 }
 
-void list_outage::restored(core::time_point now)
+void server_list_outage::record_restore(core::time_point now)
 {
-    disturbed_until_ = now + disturbed_time;
+    recovering_until_ = now + recovery_period;
 }
 
-void list_outage::neighbour_reads(core::time_point now)
+void server_list_outage::record_neighbour_read(core::time_point now)
 {
     const bool proves = !is_current_ && lost_at_ && !others_served_at_ &&
-                        now - *lost_at_ >= loss_notice;
+                        now - *lost_at_ >= loss_detection_time;
     if (proves)
         others_served_at_ = now;
 }
 
-placement::source_state list_outage::source(core::time_point now) const
+placement::source_state server_list_outage::state_at(core::time_point now) const
 {
-    const bool is_steady = is_current_ && now >= disturbed_until_;
+    const bool is_steady = is_current_ && now >= recovering_until_;
     return is_steady ? placement::source_state::steady
                      : placement::source_state::recovering;
 }
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -124,37 +124,40 @@
 
     void test_a_store_outage_lets_entries_lapse()
     {
-        list_outage outage;
-        CPPUNIT_ASSERT(outage.source(at_ms(0)) == source_state::recovering);
+        server_list_outage outage;
+        CPPUNIT_ASSERT(outage.state_at(at_ms(0)) == source_state::recovering);
         outage.set_current(true, at_ms(0));
-        CPPUNIT_ASSERT(outage.source(at_ms(0)) == source_state::steady);
+        CPPUNIT_ASSERT(outage.state_at(at_ms(0)) == source_state::steady);
         outage.set_current(false, at_ms(1000));
-        CPPUNIT_ASSERT(outage.source(at_ms(1000)) == source_state::recovering);
+        CPPUNIT_ASSERT(
+            outage.state_at(at_ms(1000)) == source_state::recovering);
         outage.set_current(true, at_ms(5000));
-        CPPUNIT_ASSERT(outage.source(at_ms(8999)) == source_state::recovering);
-        CPPUNIT_ASSERT(outage.source(at_ms(9000)) == source_state::steady);
+        CPPUNIT_ASSERT(
+            outage.state_at(at_ms(8999)) == source_state::recovering);
+        CPPUNIT_ASSERT(outage.state_at(at_ms(9000)) == source_state::steady);
     }
 
     void test_an_own_cut_does_not_let_entries_lapse()
     {
-        list_outage outage;
+        server_list_outage outage;
         outage.set_current(true, at_ms(0));
         outage.set_current(false, at_ms(1000));
         // The neighbour may not have noticed yet what this host did.
-        outage.neighbour_reads(at_ms(2000));
-        outage.neighbour_reads(at_ms(4000));
+        outage.record_neighbour_read(at_ms(2000));
+        outage.record_neighbour_read(at_ms(4000));
         outage.set_current(true, at_ms(6000));
-        CPPUNIT_ASSERT(outage.source(at_ms(6000)) == source_state::steady);
+        CPPUNIT_ASSERT(outage.state_at(at_ms(6000)) == source_state::steady);
     }
 
     void test_a_word_from_the_very_return_proves_nothing()
     {
-        list_outage outage;
+        server_list_outage outage;
         outage.set_current(true, at_ms(0));
         outage.set_current(false, at_ms(1000));
-        outage.neighbour_reads(at_ms(5500));
+        outage.record_neighbour_read(at_ms(5500));
         outage.set_current(true, at_ms(6000));
-        CPPUNIT_ASSERT(outage.source(at_ms(6000)) == source_state::recovering);
+        CPPUNIT_ASSERT(
+            outage.state_at(at_ms(6000)) == source_state::recovering);
     }
 
     void test_small_fleets_have_one_link_a_pair()
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -136,7 +136,7 @@
     struct host_model
     {
         reader_model<server_record> reader;
-        entry::list_outage outage;
+        entry::server_list_outage outage;
         placement::server_directory directory;
         bool has_left = false;
         bool used_after_leaving = false;
@@ -176,7 +176,7 @@
     {
         host_model& host = hosts_[at];
         host.reader.deliver(
-            [this, &host] { host.outage.restored(at_ms(time_ms_)); },
+            [this, &host] { host.outage.record_restore(at_ms(time_ms_)); },
             [this, &host](const auto& answer) {
                 // Of a whole list the newest record counts alone.
                 if (answer.is_whole)
@@ -197,7 +197,7 @@
         host.has_lapsed = record.says == listing::dropped;
         if (record.says == listing::dropped) {
             host.directory.delisted(
-                id(), host.outage.source(at_ms(time_ms_)), at_ms(time_ms_));
+                id(), host.outage.state_at(at_ms(time_ms_)), at_ms(time_ms_));
         } else {
             host.directory.listed(entry_of(record), at_ms(time_ms_));
             host.directory.still_listed(id());
