--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -266,7 +266,7 @@
     table_inquiry table_inquiry_;
     table_intake intake_;
     table_askers<wire::link, wire::pull> table_askers_;
-    list_readers readers_;
+    server_list_readers readers_;
     wire::host_work told_work_;
     core::time_point told_work_at_{};
     cell_load_reporter load_reporter_;
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -297,7 +297,7 @@
     const core::time_point now = core::monotonic_now();
     outage_.set_current(is_current, now);
     if (!is_current)
-        readers_.cannot_read();
+        readers_.clear_own_read();
     const bool is_steady =
         outage_.state_at(now) == placement::source_state::steady;
     log_event(
@@ -309,7 +309,7 @@
 
 void entry_process::list_was_read()
 {
-    readers_.has_read(core::monotonic_now());
+    readers_.record_own_read(core::monotonic_now());
 }
 
 void entry_process::source_was_restored()
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -103,8 +103,8 @@
     for (const auto& [server, work] : context_.ledger.own())
         said.work.push_back(to_wire(server, work));
     const core::time_point now = core::monotonic_now();
-    said.reads_list = readers_.reads(now);
-    const auto reader = readers_.first(now);
+    said.reads_list = readers_.is_reader(now);
+    const auto reader = readers_.first_other_reader(now);
     const bool is_ahead =
         reader && (!said.reads_list || reader->first < context_.settings.host);
     if (is_ahead) {
@@ -267,7 +267,7 @@
 // 295 that started at once asked each engine for its report, 95,000 times.
 bool entry_process::is_quick_reader() const
 {
-    return !is_new_in_fleet() && readers_.is_first(core::monotonic_now());
+    return !is_new_in_fleet() && readers_.is_primary(core::monotonic_now());
 }
 
 bool entry_process::is_new_in_fleet() const
@@ -295,18 +295,18 @@
     const auto& mates = neighbours_->cell_peers();
     if (!is_large_fleet())
         return false;
-    return outage_.is_current() ? readers_.is_preceded_by(mates, now)
-                                : readers_.is_read_by(mates, now);
+    return outage_.is_current() ? readers_.has_earlier_reader(mates, now)
+                                : readers_.has_reader(mates, now);
 }
 
 void entry_process::hear_reader(
     const core::host_name& host, const wire::host_work& said)
 {
     const core::time_point now = core::monotonic_now();
-    readers_.says(host, said.reads_list, now);
+    readers_.record_report(host, said.reads_list, now);
     const core::host_name told(said.reader);
     if (!told.empty() && told != host)
-        readers_.is_said_to_read(
+        readers_.record_indirect_report(
             told, now - std::chrono::milliseconds(said.reader_age_ms));
 }
 
--- a/services/entry/src/list_readers.cpp
+++ b/services/entry/src/list_readers.cpp
@@ -6,78 +6,79 @@
 
 namespace {
 
-bool is_fresh(core::time_point heard_at, core::time_point now)
+bool is_fresh(core::time_point reported_at, core::time_point now)
 {
-    return now - heard_at < list_readers::word_lifetime;
+    return now - reported_at < server_list_readers::report_lifetime;
 }
 
 } // namespace
 
-void list_readers::says(
+void server_list_readers::record_report(
     const core::host_name& host, bool reads_list, core::time_point now)
 {
     // Hosts come and go under ever new names; who said nothing lately is as
     // good as never heard.
-    std::erase_if(others_, [now](const auto& each) {
+    std::erase_if(last_reports_, [now](const auto& each) {
         return !is_fresh(each.second, now);
     });
     if (reads_list)
-        others_[host] = now;
+        last_reports_[host] = now;
     else
-        others_.erase(host);
+        last_reports_.erase(host);
 }
 
-void list_readers::is_said_to_read(
-    const core::host_name& host, core::time_point heard_at)
+void server_list_readers::record_indirect_report(
+    const core::host_name& host, core::time_point reported_at)
 {
     if (host == self_)
         return;
-    const auto known = others_.find(host);
-    if (known == others_.end() || known->second < heard_at)
-        others_[host] = heard_at;
+    const auto known = last_reports_.find(host);
+    if (known == last_reports_.end() || known->second < reported_at)
+        last_reports_[host] = reported_at;
 }
 
-bool list_readers::reads(core::time_point now) const
+bool server_list_readers::is_reader(core::time_point now) const
 {
-    return read_at_ && now - *read_at_ <= read_lifetime;
+    return last_own_read_at_ && now - *last_own_read_at_ <= reader_lifetime;
 }
 
 std::optional<std::pair<core::host_name, core::time_point>>
-list_readers::first(core::time_point now) const
+server_list_readers::first_other_reader(core::time_point now) const
 {
-    for (const auto& [host, heard_at] : others_) {
-        if (is_fresh(heard_at, now))
-            return std::pair(host, heard_at);
+    for (const auto& [host, reported_at] : last_reports_) {
+        if (is_fresh(reported_at, now))
+            return std::pair(host, reported_at);
     }
     return std::nullopt;
 }
 
-bool list_readers::is_first(core::time_point now) const
+bool server_list_readers::is_primary(core::time_point now) const
 {
-    const auto other = first(now);
+    const auto other = first_other_reader(now);
     return !other || self_ < other->first;
 }
 
-bool list_readers::is_any_fresh(
-    words::const_iterator end,
-    const std::set<core::host_name>& mates,
+bool server_list_readers::has_fresh_report(
+    reports::const_iterator end,
+    const std::set<core::host_name>& peers,
     core::time_point now) const
 {
-    return std::any_of(others_.begin(), end, [&mates, now](const auto& each) {
-        return mates.contains(each.first) && is_fresh(each.second, now);
-    });
+    return std::any_of(
+        last_reports_.begin(), end, [&peers, now](const auto& each) {
+            return peers.contains(each.first) && is_fresh(each.second, now);
+        });
 }
 
-bool list_readers::is_preceded_by(
-    const std::set<core::host_name>& mates, core::time_point now) const
+bool server_list_readers::has_earlier_reader(
+    const std::set<core::host_name>& peers, core::time_point now) const
 {
-    return is_any_fresh(others_.lower_bound(self_), mates, now);
+    return has_fresh_report(last_reports_.lower_bound(self_), peers, now);
 }
 
-bool list_readers::is_read_by(
-    const std::set<core::host_name>& mates, core::time_point now) const
+bool server_list_readers::has_reader(
+    const std::set<core::host_name>& peers, core::time_point now) const
 {
-    return is_any_fresh(others_.end(), mates, now);
+    return has_fresh_report(last_reports_.end(), peers, now);
 }
 
 } // namespace godwit::entry
