--- a/services/entry/include/godwit/entry/report_poller.hpp
+++ b/services/entry/include/godwit/entry/report_poller.hpp
@@ -16,27 +16,27 @@
 class report_poller
 {
 public:
-    /// `on_leaving` is called for a server that says that it leaves.
+    /// `on_draining` is called for a server that says that it leaves.
     report_poller(
         entry_context& context,
-        std::function<void(const placement::backend_server&)> on_leaving);
+        std::function<void(const placement::backend_server&)> on_draining);
 
     report_poller(const report_poller&) = delete;
     report_poller& operator=(const report_poller&) = delete;
 
     /// Asks each server that runs streams and is not being asked.
-    void poll_own();
+    void poll_servers_in_use();
 
     /// Asks every usable engine that is not being asked.
-    void poll_all();
+    void poll_all_engines();
 
 private:
-    void begin_to_ask(const placement::server_id& id);
-    boost::asio::awaitable<void> ask(placement::backend_server server);
+    void start_poll(const placement::server_id& id);
+    boost::asio::awaitable<void> poll(placement::backend_server server);
 
     entry_context& context_;
-    std::function<void(const placement::backend_server&)> on_leaving_;
-    std::set<placement::server_id> asked_;
+    std::function<void(const placement::backend_server&)> on_draining_;
+    std::set<placement::server_id> pending_;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/server_report.hpp
+++ b/services/entry/include/godwit/entry/server_report.hpp
@@ -7,7 +7,7 @@
 /// What a backend server says of itself when it is asked.
 struct server_report
 {
-    bool is_leaving = false; ///< It takes nothing new, and ends soon.
+    bool is_draining = false; ///< It takes nothing new, and ends soon.
     placement::server_start start = {}; ///< Of the life that answered.
 
     friend bool
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -381,9 +381,9 @@
         return;
     polled_at_ = now;
     if (!is_current && !may_leave_list_to_others())
-        reports_.poll_own();
+        reports_.poll_servers_in_use();
     else if (is_current && is_quick_reader())
-        reports_.poll_all();
+        reports_.poll_all_engines();
 }
 
 // The clock and timers include the stall, so nothing is expired here. What the
--- a/services/entry/src/report_poller.cpp
+++ b/services/entry/src/report_poller.cpp
@@ -14,63 +14,63 @@
 namespace {
 
 // A report needs no slot; a server that takes longer cannot be reached.
-constexpr core::duration report_limit = std::chrono::milliseconds(600);
+constexpr core::duration report_timeout = std::chrono::milliseconds(600);
 
 // A life that came after the one that was asked means that this one has gone;
 // the list tells of it. What an earlier one says is not the asked one's.
-bool says_that_it_leaves(
+bool reports_draining(
     const placement::backend_server& asked, const server_report& report)
 {
     const bool is_of_former_life =
         report.start.is_known() && report.start < asked.start;
-    return report.is_leaving && !is_of_former_life;
+    return report.is_draining && !is_of_former_life;
 }
 
 } // namespace
 
 report_poller::report_poller(
     entry_context& context,
-    std::function<void(const placement::backend_server&)> on_leaving)
-    : context_(context), on_leaving_(std::move(on_leaving))
+    std::function<void(const placement::backend_server&)> on_draining)
+    : context_(context), on_draining_(std::move(on_draining))
 {}
 
-void report_poller::poll_own()
+void report_poller::poll_servers_in_use()
 {
     for (const auto& id : context_.streams.servers())
-        begin_to_ask(id);
+        start_poll(id);
 }
 
-void report_poller::poll_all()
+void report_poller::poll_all_engines()
 {
     if (!context_.routes)
         return;
     for (const auto& id : context_.directory.ids()) {
         if (context_.routes->has_engines(context_.directory.find(id)->service))
-            begin_to_ask(id);
+            start_poll(id);
     }
 }
 
-void report_poller::begin_to_ask(const placement::server_id& id)
+void report_poller::start_poll(const placement::server_id& id)
 {
     const placement::backend_server* server = context_.directory.find(id);
     const bool is_worth_asking =
         server != nullptr && context_.directory.is_usable(id);
-    if (!is_worth_asking || !asked_.insert(id).second)
+    if (!is_worth_asking || !pending_.insert(id).second)
         return;
     // However the question ends, the server may be asked again.
     spawn(
         context_.executor,
         "report",
         [this, asked = *server]() -> asio::awaitable<void> {
-            co_await ask(asked);
+            co_await poll(asked);
         },
-        [this, id] { asked_.erase(id); });
+        [this, id] { pending_.erase(id); });
 }
 
-asio::awaitable<void> report_poller::ask(placement::backend_server server)
+asio::awaitable<void> report_poller::poll(placement::backend_server server)
 {
     http::request question = context_.codec.write_report_request();
-    const http::fetch_limits limits{.deadline = report_limit};
+    const http::fetch_limits limits{.deadline = report_timeout};
     const auto answered = co_await http::fetch(
         *context_.connections, server.address, std::move(question), limits);
     // A server that does not answer may be cut off from this host alone; its
@@ -86,8 +86,8 @@
             {{"server", server.id}, {"cause", report.error().message()}});
         co_return;
     }
-    if (says_that_it_leaves(server, *report))
-        on_leaving_(server);
+    if (reports_draining(server, *report))
+        on_draining_(server);
 }
 
 } // namespace godwit::entry
--- a/tests/entry/report_poller_test.cpp
+++ b/tests/entry/report_poller_test.cpp
@@ -72,7 +72,7 @@
         context.streams.add(id, stream);
         report_poller poller(context, [](const auto&) {});
         for (int rounds = 0; rounds < 3; ++rounds) {
-            poller.poll_own();
+            poller.poll_servers_in_use();
             io.restart();
             io.run();
         }
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -249,10 +249,10 @@
         const auto read = [](const std::string& body) {
             return request_codec::read_report({200, {}, body});
         };
-        CPPUNIT_ASSERT(!read(R"({"state":"ready"})")->is_leaving);
-        CPPUNIT_ASSERT(read(R"({"state":"draining"})")->is_leaving);
+        CPPUNIT_ASSERT(!read(R"({"state":"ready"})")->is_draining);
+        CPPUNIT_ASSERT(read(R"({"state":"draining"})")->is_draining);
         CPPUNIT_ASSERT(
-            read(R"({"state":"ready","leaves_ms":1500})")->is_leaving);
+            read(R"({"state":"ready","leaves_ms":1500})")->is_draining);
         CPPUNIT_ASSERT(!read("["));
     }
 };
