--- a/services/entry/include/godwit/entry/server_names.hpp
+++ b/services/entry/include/godwit/entry/server_names.hpp
@@ -10,6 +10,6 @@
 /// The first few of the servers' names with commas between them: a line of
 /// the log stays short, however many servers there are.
 [[nodiscard]] std::string
-first_names(const std::vector<placement::server_id>& servers);
+join_first_ids(const std::vector<placement::server_id>& servers);
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -326,7 +326,7 @@
         component,
         "servers_known",
         {{"count", context_.directory.size()},
-         {"first", first_names(context_.directory.ids())},
+         {"first", join_first_ids(context_.directory.ids())},
          {"source", source}});
 }
 
--- a/services/entry/src/entry_process_paces.cpp
+++ b/services/entry/src/entry_process_paces.cpp
@@ -44,9 +44,9 @@
         "server_paces",
         {{"service", service.name},
          {"slower", changes.slower.size()},
-         {"slower_first", first_names(changes.slower)},
+         {"slower_first", join_first_ids(changes.slower)},
          {"recovered", changes.recovered.size()},
-         {"recovered_first", first_names(changes.recovered)},
+         {"recovered_first", join_first_ids(changes.recovered)},
          {"compared", seen.size()}});
 }
 
--- a/services/entry/src/server_names.cpp
+++ b/services/entry/src/server_names.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr std::size_t most_named = 4;
+constexpr std::size_t max_joined = 4;
 
 } // namespace
 
-std::string first_names(const std::vector<placement::server_id>& servers)
+std::string join_first_ids(const std::vector<placement::server_id>& servers)
 {
     std::string names;
-    const std::size_t count = std::min(servers.size(), most_named);
+    const std::size_t count = std::min(servers.size(), max_joined);
     for (std::size_t each = 0; each < count; ++each) {
         if (!names.empty())
             names += ',';
