--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -86,10 +86,10 @@
     void list_was_read();
 
     /// The newest route table was read at its source.
-    void table_source_was_read() { refresh_.table_was_read(); }
+    void table_source_was_read() { refresh_.record_table_read(); }
 
     /// The whole list of servers was read at its source.
-    void server_source_was_read() { refresh_.servers_were_read(); }
+    void server_source_was_read() { refresh_.record_server_list_read(); }
 
     /// The source restarted from an older copy of the list: servers that it
     /// lacks stay in use while they may list themselves again.
--- a/services/entry/include/godwit/entry/source_refresh.hpp
+++ b/services/entry/include/godwit/entry/source_refresh.hpp
@@ -13,16 +13,16 @@
 {
 public:
     /// A host whose source does not answer serves on by what it knows.
-    static constexpr core::duration longest = std::chrono::seconds(1);
+    static constexpr core::duration max_duration = std::chrono::seconds(1);
 
     /// The host ran again at `now`.
     void begin(core::time_point now);
 
     /// The newest table was read at the source.
-    void table_was_read() noexcept { lacks_table_ = false; }
+    void record_table_read() noexcept { needs_table_ = false; }
 
     /// The whole list of servers was read at the source.
-    void servers_were_read() noexcept { lacks_servers_ = false; }
+    void record_server_list_read() noexcept { needs_servers_ = false; }
 
     /// `is_reading_table`: a table came and is not in force yet.
     [[nodiscard]] bool
@@ -30,8 +30,8 @@
 
 private:
     std::optional<core::time_point> began_at_;
-    bool lacks_table_ = false;
-    bool lacks_servers_ = false;
+    bool needs_table_ = false;
+    bool needs_servers_ = false;
 };
 
 } // namespace godwit::entry
--- a/tests/entry/source_refresh_test.cpp
+++ b/tests/entry/source_refresh_test.cpp
@@ -28,9 +28,9 @@
         CPPUNIT_ASSERT(!refresh.is_pending(false, at_ms(5000)));
         refresh.begin(at_ms(5000));
         CPPUNIT_ASSERT(refresh.is_pending(false, at_ms(5000)));
-        refresh.table_was_read();
+        refresh.record_table_read();
         CPPUNIT_ASSERT(refresh.is_pending(false, at_ms(5010)));
-        refresh.servers_were_read();
+        refresh.record_server_list_read();
         CPPUNIT_ASSERT(!refresh.is_pending(false, at_ms(5020)));
         refresh.begin(at_ms(9000));
         CPPUNIT_ASSERT(refresh.is_pending(false, at_ms(9000)));
@@ -41,8 +41,8 @@
         source_refresh refresh;
         CPPUNIT_ASSERT(!refresh.is_pending(true, at_ms(0)));
         refresh.begin(at_ms(5000));
-        refresh.table_was_read();
-        refresh.servers_were_read();
+        refresh.record_table_read();
+        refresh.record_server_list_read();
         CPPUNIT_ASSERT(refresh.is_pending(true, at_ms(5010)));
         CPPUNIT_ASSERT(!refresh.is_pending(false, at_ms(5010)));
         CPPUNIT_ASSERT(!refresh.is_pending(true, at_ms(6000)));
