--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -265,7 +265,7 @@
     table_history tables_;
     table_inquiry table_inquiry_;
     table_intake intake_;
-    table_askers<wire::link, wire::pull> table_askers_;
+    table_request_queue<wire::link, wire::pull> table_requests_;
     server_list_readers readers_;
     wire::host_work told_work_;
     core::time_point told_work_at_{};
--- a/services/entry/include/godwit/entry/table_askers.hpp
+++ b/services/entry/include/godwit/entry/table_askers.hpp
@@ -27,31 +27,30 @@
 /// The neighbours that asked this host for its route table. Each waits until
 /// the link is nearly done with the answers before: sent together, all of them
 /// would wait for the last one's, and so would the requests that share it.
-template<queueing_link Link, class Question>
-class table_askers
+template<queueing_link Link, class Request>
+class table_request_queue
 {
 public:
     /// What may wait to be sent to askers when the next one is served.
-    static constexpr std::size_t most_queued_bytes = std::size_t{64} * 1024;
+    static constexpr std::size_t max_queued_bytes = std::size_t{64} * 1024;
     /// Whoever has waited longer asks another neighbour meanwhile.
-    static constexpr core::duration longest_wait = std::chrono::seconds(1);
+    static constexpr core::duration max_wait = std::chrono::seconds(1);
 
-    void
-    add(std::shared_ptr<Link> link, Question question, core::time_point now)
+    void add(std::shared_ptr<Link> link, Request request, core::time_point now)
     {
-        waiting_.push_back({std::move(link), std::move(question), now});
+        waiting_.push_back({std::move(link), std::move(request), now});
     }
 
     /// Calls `send` with the links that are to get an answer now.
-    template<std::invocable<Link&, const Question&> Send>
+    template<std::invocable<Link&, const Request&> Send>
     void serve(core::time_point now, const Send& send)
     {
-        while (!waiting_.empty() && queued_bytes() < most_queued_bytes) {
-            const asker first = std::move(waiting_.front());
+        while (!waiting_.empty() && queued_bytes() < max_queued_bytes) {
+            const pending_request first = std::move(waiting_.front());
             waiting_.pop_front();
-            if (!first.link->is_open() || now - first.asked_at > longest_wait)
+            if (!first.link->is_open() || now - first.requested_at > max_wait)
                 continue;
-            send(*first.link, first.question);
+            send(*first.link, first.request);
             served_.insert(first.link);
         }
     }
@@ -62,11 +61,11 @@
     }
 
 private:
-    struct asker
+    struct pending_request
     {
         std::shared_ptr<Link> link;
-        Question question;
-        core::time_point asked_at;
+        Request request;
+        core::time_point requested_at;
     };
 
     [[nodiscard]] std::size_t queued_bytes()
@@ -80,7 +79,7 @@
         return bytes;
     }
 
-    std::deque<asker> waiting_;
+    std::deque<pending_request> waiting_;
     std::set<std::shared_ptr<Link>> served_;
 };
 
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -131,13 +131,13 @@
 void entry_process::hear_pull(
     const std::shared_ptr<wire::link>& from, const wire::pull& said)
 {
-    table_askers_.add(from, said, core::monotonic_now());
+    table_requests_.add(from, said, core::monotonic_now());
     serve_table_askers();
 }
 
 void entry_process::serve_table_askers()
 {
-    table_askers_.serve(
+    table_requests_.serve(
         core::monotonic_now(),
         [this](wire::link& asker, const wire::pull& said) {
             tell_table(asker, said);
--- a/tests/entry/table_askers_test.cpp
+++ b/tests/entry/table_askers_test.cpp
@@ -12,7 +12,7 @@
 using namespace godwit;
 
 /// A link that the test fills and drains.
-struct stand_in_link
+struct fake_link
 {
     bool open = true;
     std::size_t bytes = 0;
@@ -22,21 +22,21 @@
     [[nodiscard]] std::size_t queued() const { return bytes; }
 };
 
-using askers = entry::table_askers<stand_in_link, int>;
+using request_queue = entry::table_request_queue<fake_link, int>;
 
 constexpr std::size_t answer_bytes = 40000; // Two of them fill the queue.
 
-class table_askers_test : public CppUnit::TestFixture
+class table_request_queue_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(table_askers_test);
+    CPPUNIT_TEST_SUITE(table_request_queue_test);
     CPPUNIT_TEST(test_few_are_served_at_a_time);
     CPPUNIT_TEST(test_small_answers_go_out_together);
     CPPUNIT_TEST(test_a_closed_link_holds_up_nobody);
     CPPUNIT_TEST(test_who_waited_long_gets_nothing_any_more);
     CPPUNIT_TEST_SUITE_END();
 
-    std::vector<std::shared_ptr<stand_in_link>> links_;
-    askers tested_;
+    std::vector<std::shared_ptr<fake_link>> links_;
+    request_queue tested_;
     std::size_t answer_bytes_ = answer_bytes;
 
     static core::time_point at_ms(int milliseconds)
@@ -47,7 +47,7 @@
     void ask(std::size_t count)
     {
         for (std::size_t at = 0; at < count; ++at) {
-            links_.push_back(std::make_shared<stand_in_link>());
+            links_.push_back(std::make_shared<fake_link>());
             tested_.add(links_.back(), static_cast<int>(at), at_ms(0));
         }
     }
@@ -56,7 +56,7 @@
     {
         std::size_t served = 0;
         tested_.serve(
-            at_ms(milliseconds), [this, &served](stand_in_link& link, int) {
+            at_ms(milliseconds), [this, &served](fake_link& link, int) {
                 link.bytes = answer_bytes_;
                 ++served;
             });
@@ -100,6 +100,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(table_askers_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(table_request_queue_test);
 
 } // namespace
--- a/tests/entry/table_fleet_test.cpp
+++ b/tests/entry/table_fleet_test.cpp
@@ -52,7 +52,7 @@
     std::size_t received_bytes = 0;
     entry::table_inquiry inquiry;
     /// Asked with the version that the asker has.
-    entry::table_askers<narrow_link, std::uint64_t> askers;
+    entry::table_request_queue<narrow_link, std::uint64_t> requests;
     std::vector<std::shared_ptr<narrow_link>> sending;
 };
 
@@ -153,14 +153,14 @@
         const std::size_t asked = number_of(question->neighbour);
         auto link = std::make_shared<narrow_link>();
         link->to = at;
-        hosts_[asked].askers.add(link, hosts_[at].version, now_);
+        hosts_[asked].requests.add(link, hosts_[at].version, now_);
     }
 
     // One answer after the other, as far as the link goes in a step.
     void send(std::size_t at)
     {
         host& sender = hosts_[at];
-        sender.askers.serve(
+        sender.requests.serve(
             now_, [&sender](narrow_link& link, std::uint64_t known) {
                 link.version = sender.version;
                 link.bytes = known == 0
