--- a/services/entry/include/godwit/entry/table_history.hpp
+++ b/services/entry/include/godwit/entry/table_history.hpp
@@ -17,15 +17,15 @@
 {
 public:
     /// A host that lacks more versions gets the whole table.
-    static constexpr std::size_t most_steps = 16;
+    static constexpr std::size_t max_steps = 16;
 
     /// A version that came whole; how it follows from the one before is worked
     /// out here. Without memory for that neighbours get it whole.
-    void take_whole(std::uint64_t version, std::string text);
+    void set_full(std::uint64_t version, std::string text);
 
     /// A version that `apply` made of `changes`, which are handed on as they
     /// came.
-    void take_changed(std::string text, const wire::table_changes& changes);
+    void set_from_changes(std::string text, const wire::table_changes& changes);
 
     /// The text that the changes lead to. Fails with `expired` when they begin
     /// at another text than the one in force, with `protocol` when they cannot
@@ -40,12 +40,12 @@
     changes_from(const std::string& base);
 
     /// The digest of the text in force; empty before the first.
-    [[nodiscard]] const std::string& base() const noexcept { return base_; }
+    [[nodiscard]] const std::string& digest() const noexcept { return digest_; }
 
     [[nodiscard]] const std::string& text() const noexcept { return text_; }
 
 private:
-    struct known_step
+    struct stored_step
     {
         std::string base; ///< The digest of the text that it begins at.
         wire::table_step step;
@@ -55,10 +55,10 @@
     void replace(std::uint64_t version, std::string text, std::string digest);
 
     std::string text_;
-    std::string base_; ///< The digest of it.
+    std::string digest_; ///< The digest of it.
     std::uint64_t version_ = 0;
-    std::deque<known_step> steps_; ///< Each begins where the last one ends.
-    std::optional<wire::table_step> whole_; ///< Made when first asked for.
+    std::deque<stored_step> steps_; ///< Each begins where the last one ends.
+    std::optional<wire::table_step> full_step_; ///< Made when first asked for.
 };
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -59,11 +59,12 @@
 // Neighbours get the changes as they came here.
 void entry_process::remember(arrived_table table)
 {
-    const bool follows = table.changes && table.changes->base == tables_.base();
+    const bool follows =
+        table.changes && table.changes->base == tables_.digest();
     if (follows)
-        tables_.take_changed(std::move(table.text), *table.changes);
+        tables_.set_from_changes(std::move(table.text), *table.changes);
     else
-        tables_.take_whole(context_.routes->version(), std::move(table.text));
+        tables_.set_full(context_.routes->version(), std::move(table.text));
 }
 
 void entry_process::put_in_force(
@@ -123,7 +124,7 @@
              {"whole", question->whole}});
         link->send(wire::pull{
             question->version,
-            question->whole ? std::string() : tables_.base(),
+            question->whole ? std::string() : tables_.digest(),
             true});
     }
 }
--- a/services/entry/src/table_history.cpp
+++ b/services/entry/src/table_history.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // More than any table; a neighbour's claim beyond it sets no memory aside.
-constexpr std::size_t longest_text = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t max_text_bytes = std::size_t{64} * 1024 * 1024;
 
 core::result<wire::table_step> make_step(
     std::string_view base,
@@ -28,27 +28,27 @@
 
 } // namespace
 
-void table_history::take_whole(std::uint64_t version, std::string text)
+void table_history::set_full(std::uint64_t version, std::string text)
 {
-    const std::string former_base = base_;
+    const std::string former_base = digest_;
     const std::string former = std::move(text_);
     std::string digest = delta::content_digest(text);
     replace(version, std::move(text), std::move(digest));
     if (former_base.empty())
         return;
-    auto step = make_step(former, text_, version, base_);
+    auto step = make_step(former, text_, version, digest_);
     if (step)
         add(former_base, std::move(*step));
     else
         steps_.clear();
 }
 
-void table_history::take_changed(
+void table_history::set_from_changes(
     std::string text, const wire::table_changes& changes)
 {
     const wire::table_step& last = changes.steps.back();
     if (changes.base.empty()) {
-        take_whole(last.version, std::move(text));
+        set_full(last.version, std::move(text));
         return;
     }
     replace(last.version, std::move(text), last.made);
@@ -62,8 +62,8 @@
 {
     version_ = version;
     text_ = std::move(text);
-    base_ = std::move(digest);
-    whole_.reset();
+    digest_ = std::move(digest);
+    full_step_.reset();
 }
 
 // Steps that together are as large as the table are of no use.
@@ -75,11 +75,11 @@
             steps_.begin(),
             steps_.end(),
             std::size_t{0},
-            [](std::size_t sum, const known_step& each) {
+            [](std::size_t sum, const stored_step& each) {
                 return sum + each.step.compressed.size();
             });
     };
-    while (steps_.size() > most_steps ||
+    while (steps_.size() > max_steps ||
            (steps_.size() > 1 && bytes() > text_.size()))
         steps_.pop_front();
 }
@@ -87,7 +87,7 @@
 core::result<std::string>
 table_history::apply(const wire::table_changes& changes) const
 {
-    if (!changes.base.empty() && changes.base != base_)
+    if (!changes.base.empty() && changes.base != digest_)
         return core::fail(
             core::error_kind::expired,
             "the changes begin at a table that is not in force here",
@@ -100,7 +100,7 @@
     std::string made = changes.base.empty() ? std::string() : text_;
     for (const wire::table_step& step : changes.steps)
         made = GODWIT_TRY(delta::apply_patch(
-            made, {step.made_bytes, step.compressed}, longest_text));
+            made, {step.made_bytes, step.compressed}, max_text_bytes));
     if (delta::content_digest(made) != changes.steps.back().made)
         return core::fail(
             core::error_kind::protocol,
@@ -112,12 +112,12 @@
 core::result<wire::table_changes>
 table_history::changes_from(const std::string& base)
 {
-    if (base_.empty())
+    if (digest_.empty())
         return core::fail(
             core::error_kind::exhausted, "no table is in force", "ask later");
     wire::table_changes made;
     const auto first = std::find_if(
-        steps_.begin(), steps_.end(), [&base](const known_step& each) {
+        steps_.begin(), steps_.end(), [&base](const stored_step& each) {
             return each.base == base;
         });
     if (!base.empty() && first != steps_.end()) {
@@ -126,12 +126,12 @@
             first,
             steps_.end(),
             std::back_inserter(made.steps),
-            [](const known_step& each) { return each.step; });
+            [](const stored_step& each) { return each.step; });
         return made;
     }
-    if (!whole_)
-        whole_ = GODWIT_TRY(make_step("", text_, version_, base_));
-    made.steps.push_back(*whole_);
+    if (!full_step_)
+        full_step_ = GODWIT_TRY(make_step("", text_, version_, digest_));
+    made.steps.push_back(*full_step_);
     return made;
 }
 
--- a/tests/entry/table_history_test.cpp
+++ b/tests/entry/table_history_test.cpp
@@ -37,11 +37,11 @@
     {
         table_history made;
         for (std::uint64_t version = first; version <= last; ++version)
-            made.take_whole(version, text_of(version));
+            made.set_full(version, text_of(version));
         return made;
     }
 
-    static std::string base_of(std::uint64_t version)
+    static std::string digest_of(std::uint64_t version)
     {
         return delta::content_digest(text_of(version));
     }
@@ -50,7 +50,7 @@
     {
         table_history ahead = with(1, 2);
         const table_history behind = with(1, 1);
-        const auto changes = ahead.changes_from(behind.base()).value();
+        const auto changes = ahead.changes_from(behind.digest()).value();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.steps.size());
         CPPUNIT_ASSERT(changes.steps[0].compressed.size() < 100);
         CPPUNIT_ASSERT(behind.apply(changes).value() == text_of(2));
@@ -60,7 +60,7 @@
     {
         table_history ahead = with(1, 5);
         const table_history behind = with(2, 2);
-        const auto changes = ahead.changes_from(behind.base()).value();
+        const auto changes = ahead.changes_from(behind.digest()).value();
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, changes.steps.size());
         CPPUNIT_ASSERT(behind.apply(changes).value() == text_of(5));
     }
@@ -69,15 +69,15 @@
     {
         table_history first = with(1, 4);
         table_history second = with(1, 2);
-        const auto changes = first.changes_from(second.base()).value();
-        second.take_changed(second.apply(changes).value(), changes);
-        CPPUNIT_ASSERT(second.base() == first.base());
+        const auto changes = first.changes_from(second.digest()).value();
+        second.set_from_changes(second.apply(changes).value(), changes);
+        CPPUNIT_ASSERT(second.digest() == first.digest());
         const table_history third = with(2, 2);
-        const auto handed_on = second.changes_from(third.base()).value();
+        const auto handed_on = second.changes_from(third.digest()).value();
         CPPUNIT_ASSERT(handed_on == changes);
         // What it had before them is still known.
         const table_history fourth = with(1, 1);
-        const auto more = second.changes_from(fourth.base()).value();
+        const auto more = second.changes_from(fourth.digest()).value();
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, more.steps.size());
         CPPUNIT_ASSERT(fourth.apply(more).value() == text_of(4));
     }
@@ -86,33 +86,33 @@
     {
         table_history ahead = with(1, 3);
         const table_history new_host;
-        for (const std::string& base : {new_host.base(), base_of(9)}) {
+        for (const std::string& base : {new_host.digest(), digest_of(9)}) {
             const auto changes = ahead.changes_from(base).value();
             CPPUNIT_ASSERT(changes.base.empty());
             CPPUNIT_ASSERT(new_host.apply(changes).value() == text_of(3));
         }
         // It may be taken by a host that has another one, too.
         table_history other = with(9, 9);
-        const auto changes = ahead.changes_from(other.base()).value();
-        other.take_changed(other.apply(changes).value(), changes);
+        const auto changes = ahead.changes_from(other.digest()).value();
+        other.set_from_changes(other.apply(changes).value(), changes);
         CPPUNIT_ASSERT(other.text() == text_of(3));
-        const auto onwards = other.changes_from(base_of(9)).value();
+        const auto onwards = other.changes_from(digest_of(9)).value();
         CPPUNIT_ASSERT(with(9, 9).apply(onwards).value() == text_of(3));
     }
 
     void test_a_long_history_is_forgotten()
     {
-        table_history ahead = with(1, table_history::most_steps + 2);
-        CPPUNIT_ASSERT(ahead.changes_from(base_of(1)).value().base.empty());
+        table_history ahead = with(1, table_history::max_steps + 2);
+        CPPUNIT_ASSERT(ahead.changes_from(digest_of(1)).value().base.empty());
         CPPUNIT_ASSERT_EQUAL(
-            table_history::most_steps,
-            ahead.changes_from(base_of(2)).value().steps.size());
+            table_history::max_steps,
+            ahead.changes_from(digest_of(2)).value().steps.size());
     }
 
     void test_changes_of_another_text_are_refused()
     {
         table_history ahead = with(1, 2);
-        const auto changes = ahead.changes_from(base_of(1)).value();
+        const auto changes = ahead.changes_from(digest_of(1)).value();
         const auto made = with(5, 5).apply(changes);
         CPPUNIT_ASSERT(!made);
         CPPUNIT_ASSERT(made.error().kind() == core::error_kind::expired);
@@ -122,8 +122,8 @@
     {
         table_history ahead = with(1, 2);
         const table_history behind = with(1, 1);
-        auto changes = ahead.changes_from(behind.base()).value();
-        changes.steps[0].made = base_of(3);
+        auto changes = ahead.changes_from(behind.digest()).value();
+        changes.steps[0].made = digest_of(3);
         auto made = behind.apply(changes);
         CPPUNIT_ASSERT(!made);
         CPPUNIT_ASSERT(made.error().kind() == core::error_kind::protocol);
@@ -136,7 +136,7 @@
     void test_without_a_table_there_is_nothing_to_tell()
     {
         table_history empty;
-        CPPUNIT_ASSERT(empty.base().empty());
+        CPPUNIT_ASSERT(empty.digest().empty());
         CPPUNIT_ASSERT(!empty.changes_from(""));
     }
 };
--- a/tests/platform_adapter/table_changes_test.cpp
+++ b/tests/platform_adapter/table_changes_test.cpp
@@ -29,8 +29,8 @@
 public:
     ahead()
     {
-        history_.take_whole(1, table_text(1));
-        history_.take_whole(2, table_text(2, "k2"));
+        history_.set_full(1, table_text(1));
+        history_.set_full(2, table_text(2, "k2"));
     }
 
     wire::table_changes answer(const wire::pull& asked)
@@ -123,9 +123,9 @@
                 return std::nullopt;
             });
         entry::table_history behind;
-        behind.take_whole(1, table_text(1));
+        behind.set_full(1, table_text(1));
         const auto said = std::get<wire::table_changes>(
-            told(others, wire::pull{2, behind.base(), true}));
+            told(others, wire::pull{2, behind.digest(), true}));
         CPPUNIT_ASSERT(
             said.steps.at(0).compressed.size() < most_bytes_a_small_change);
         CPPUNIT_ASSERT(behind.apply(said).value() == table_text(2, "k2"));
