--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -263,7 +263,7 @@
     std::optional<entry_settings> last_read_; ///< As the file said it.
     core::time_point reloaded_at_{};
     table_history tables_;
-    table_inquiry table_inquiry_;
+    table_fetch_scheduler table_fetches_;
     table_intake intake_;
     table_request_queue<wire::link, wire::pull> table_requests_;
     server_list_readers readers_;
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -83,7 +83,7 @@
     asio::io_context& io, entry_settings settings, const codec_functions& codec)
     : io_(io), context_(io.get_executor(), std::move(settings), codec),
       calls_(context_), signals_(io), tick_timer_(io), stop_timer_(io),
-      table_inquiry_(context_.settings.host),
+      table_fetches_(context_.settings.host),
       intake_(
           io.get_executor(),
           table_intake::handlers{
@@ -423,7 +423,8 @@
     const bool may_hear_one =
         is_new_in_fleet() && !has_heard_version_ &&
         core::monotonic_now() - started_at_ < greeting_span;
-    return may_hear_one || table_inquiry_.lacks_version() || intake_.is_busy();
+    return may_hear_one || table_fetches_.knows_newer_version() ||
+           intake_.is_busy();
 }
 
 void entry_process::tick()
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -53,7 +53,7 @@
         log_known((*routes)->version(), table.source, table.received_bytes);
     else
         put_in_force(*routes, std::move(table));
-    table_inquiry_.answered(source, core::monotonic_now());
+    table_fetches_.record_response(source, core::monotonic_now());
 }
 
 // Neighbours get the changes as they came here.
@@ -88,7 +88,7 @@
          {"routes", content.routes.size()},
          {"organisations", content.organisations.size()}});
     context_.routes = routes;
-    table_inquiry_.in_force(version);
+    table_fetches_.set_own_version(version);
     neighbours_->broadcast(wire::catalogue_position{version, 0});
     context_.queue.wake_first();
     remember(std::move(table));
@@ -101,7 +101,7 @@
     const core::host_name& host, std::uint64_t version)
 {
     has_heard_version_ = true;
-    table_inquiry_.announced(host, version, core::monotonic_now());
+    table_fetches_.record_version(host, version, core::monotonic_now());
 }
 
 void entry_process::ask_for_table()
@@ -109,10 +109,10 @@
     // What is being read may be what is lacking.
     if (intake_.is_busy())
         return;
-    while (const auto question = table_inquiry_.next(core::monotonic_now())) {
+    while (const auto question = table_fetches_.next(core::monotonic_now())) {
         const auto link = neighbours_->link_to(question->neighbour);
         if (!link) {
-            table_inquiry_.lost(question->neighbour);
+            table_fetches_.remove_neighbour(question->neighbour);
             continue;
         }
         log_event(
@@ -121,10 +121,10 @@
             "table_asked",
             {{"version", question->version},
              {"neighbour", question->neighbour},
-             {"whole", question->whole}});
+             {"whole", question->full}});
         link->send(wire::pull{
             question->version,
-            question->whole ? std::string() : tables_.digest(),
+            question->full ? std::string() : tables_.digest(),
             true});
     }
 }
@@ -220,7 +220,7 @@
     const core::host_name& host, std::uint64_t version, const core::error& why)
 {
     if (why.kind() == core::error_kind::protocol)
-        table_inquiry_.changes_were_false();
+        table_fetches_.request_full_table();
     log_event(
         log_level::warning,
         component,
@@ -228,7 +228,7 @@
         {{"version", version},
          {"neighbour", host},
          {"cause", why.to_string()}});
-    table_inquiry_.answered(host, core::monotonic_now());
+    table_fetches_.record_response(host, core::monotonic_now());
 }
 
 bool entry_process::has_version(std::uint64_t version) const
@@ -241,7 +241,7 @@
     const core::host_name& host, std::uint64_t version, std::size_t bytes)
 {
     log_known(version, host.value(), bytes);
-    table_inquiry_.answered(host, core::monotonic_now());
+    table_fetches_.record_response(host, core::monotonic_now());
 }
 
 void entry_process::log_known(
--- a/services/entry/src/table_inquiry.cpp
+++ b/services/entry/src/table_inquiry.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 // The limit doubles up to eight times the first one.
-constexpr unsigned most_doublings = 3;
+constexpr unsigned max_doublings = 3;
 
-core::duration limit_of(unsigned questions_before)
+core::duration timeout_after(unsigned requests_before)
 {
-    return table_inquiry::answer_limit *
-           (1U << std::min(questions_before, most_doublings));
+    return table_fetch_scheduler::initial_timeout *
+           (1U << std::min(requests_before, max_doublings));
 }
 
 } // namespace
 
-void table_inquiry::announced(
+void table_fetch_scheduler::record_version(
     const core::host_name& neighbour,
     std::uint64_t version,
     core::time_point now)
@@ -28,84 +28,88 @@
     if (version <= version_)
         return;
     const auto [known, is_new] =
-        announced_.try_emplace(neighbour, announcement{version, now});
+        newer_versions_.try_emplace(neighbour, announcement{version, now});
     if (is_new || known->second.version >= version)
         return;
     known->second.version = version;
-    known->second.heard_at = now;
+    known->second.received_at = now;
 }
 
-void table_inquiry::in_force(std::uint64_t version)
+void table_fetch_scheduler::set_own_version(std::uint64_t version)
 {
     version_ = version;
-    std::erase_if(announced_, [version](const auto& each) {
+    std::erase_if(newer_versions_, [version](const auto& each) {
         return each.second.version <= version;
     });
-    for (auto& [neighbour, said] : announced_)
-        said.questions = 0;
-    asked_.reset();
-    ask_again_at_ = {};
-    questions_in_a_row_ = 0;
-    asks_whole_ = false;
+    for (auto& [neighbour, said] : newer_versions_)
+        said.requests = 0;
+    pending_neighbour_.reset();
+    next_request_at_ = {};
+    consecutive_requests_ = 0;
+    needs_full_table_ = false;
 }
 
 // A neighbour whose table cannot be read here would otherwise be asked again
 // as fast as it answers.
-void table_inquiry::answered(
+void table_fetch_scheduler::record_response(
     const core::host_name& neighbour, core::time_point now)
 {
-    if (asked_ != neighbour)
+    if (pending_neighbour_ != neighbour)
         return;
-    asked_.reset();
-    ask_again_at_ = std::min(ask_again_at_, now + patience);
+    pending_neighbour_.reset();
+    next_request_at_ = std::min(next_request_at_, now + source_grace_period);
 }
 
-void table_inquiry::lost(const core::host_name& neighbour)
+void table_fetch_scheduler::remove_neighbour(const core::host_name& neighbour)
 {
-    announced_.erase(neighbour);
-    if (asked_ != neighbour)
+    newer_versions_.erase(neighbour);
+    if (pending_neighbour_ != neighbour)
         return;
-    asked_.reset();
-    ask_again_at_ = {};
+    pending_neighbour_.reset();
+    next_request_at_ = {};
 }
 
-bool table_inquiry::is_patient(core::time_point now) const
+bool table_fetch_scheduler::is_in_grace_period(core::time_point now) const
 {
     return std::none_of(
-        announced_.begin(), announced_.end(), [now](const auto& each) {
-            return now - each.second.heard_at >= patience;
+        newer_versions_.begin(),
+        newer_versions_.end(),
+        [now](const auto& each) {
+            return now - each.second.received_at >= source_grace_period;
         });
 }
 
 // The newest version, of those who were asked the least. Each host begins at
 // another neighbour: all of them hear the first one at the same moment, and
 // its link would be the next to be full.
-table_inquiry::announcements::iterator table_inquiry::choose()
+table_fetch_scheduler::announcements::iterator table_fetch_scheduler::choose()
 {
     const auto rank = [this](const announcements::value_type& each) {
         return std::tuple(
-            -static_cast<std::int64_t>(each.second.questions),
+            -static_cast<std::int64_t>(each.second.requests),
             each.second.version,
             core::rendezvous_weight(self_.value(), each.first.value()));
     };
     return std::max_element(
-        announced_.begin(),
-        announced_.end(),
+        newer_versions_.begin(),
+        newer_versions_.end(),
         [&rank](const auto& left, const auto& right) {
             return rank(left) < rank(right);
         });
 }
 
-std::optional<table_question> table_inquiry::next(core::time_point now)
+std::optional<table_fetch> table_fetch_scheduler::next(core::time_point now)
 {
-    if (announced_.empty() || now < ask_again_at_ || is_patient(now))
+    if (newer_versions_.empty() || now < next_request_at_ ||
+        is_in_grace_period(now))
         return std::nullopt;
     const auto chosen = choose();
-    ++chosen->second.questions;
-    asked_ = chosen->first;
-    ask_again_at_ = now + limit_of(questions_in_a_row_);
-    ++questions_in_a_row_;
-    return table_question{chosen->first, chosen->second.version, asks_whole_};
+    ++chosen->second.requests;
+    pending_neighbour_ = chosen->first;
+    next_request_at_ = now + timeout_after(consecutive_requests_);
+    ++consecutive_requests_;
+    return table_fetch{
+        chosen->first, chosen->second.version, needs_full_table_};
 }
 
 } // namespace godwit::entry
--- a/tests/entry/table_fleet_test.cpp
+++ b/tests/entry/table_fleet_test.cpp
@@ -45,12 +45,12 @@
 struct host
 {
     explicit host(std::size_t number)
-        : inquiry(core::host_name("h" + std::to_string(number)))
+        : fetches(core::host_name("h" + std::to_string(number)))
     {}
 
     std::uint64_t version = 0;
     std::size_t received_bytes = 0;
-    entry::table_inquiry inquiry;
+    entry::table_fetch_scheduler fetches;
     /// Asked with the version that the asker has.
     entry::table_request_queue<narrow_link, std::uint64_t> requests;
     std::vector<std::shared_ptr<narrow_link>> sending;
@@ -135,19 +135,19 @@
         if (version <= taker.version)
             return;
         taker.version = version;
-        taker.inquiry.in_force(version);
+        taker.fetches.set_own_version(version);
         const core::host_name name("h" + std::to_string(at));
         for (std::size_t other = 0; other < hosts; ++other) {
             if (!are_linked(at, other))
                 continue;
             hosts_[other].received_bytes += word_bytes;
-            hosts_[other].inquiry.announced(name, version, now_);
+            hosts_[other].fetches.record_version(name, version, now_);
         }
     }
 
     void ask(std::size_t at)
     {
-        const auto question = hosts_[at].inquiry.next(now_);
+        const auto question = hosts_[at].fetches.next(now_);
         if (!question)
             return;
         const std::size_t asked = number_of(question->neighbour);
@@ -185,7 +185,7 @@
     void answer(std::size_t from, const narrow_link& link)
     {
         take(link.to, link.version);
-        hosts_[link.to].inquiry.answered(
+        hosts_[link.to].fetches.record_response(
             core::host_name("h" + std::to_string(from)), now_);
     }
 
--- a/tests/entry/table_inquiry_test.cpp
+++ b/tests/entry/table_inquiry_test.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 using namespace godwit;
-using entry::table_inquiry;
+using entry::table_fetch_scheduler;
 
-class table_inquiry_test : public CppUnit::TestFixture
+class table_fetch_scheduler_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(table_inquiry_test);
+    CPPUNIT_TEST_SUITE(table_fetch_scheduler_test);
     CPPUNIT_TEST(test_the_source_has_a_moment);
     CPPUNIT_TEST(test_one_is_asked_at_a_time);
     CPPUNIT_TEST(test_the_newest_version_is_asked_for);
@@ -35,25 +35,25 @@
         return core::host_name(name);
     }
 
-    static table_inquiry lacking(std::uint64_t version)
+    static table_fetch_scheduler lacking(std::uint64_t version)
     {
-        table_inquiry made(host("self"));
-        made.in_force(version - 1);
+        table_fetch_scheduler made(host("self"));
+        made.set_own_version(version - 1);
         for (const char* name : {"a", "b", "c"})
-            made.announced(host(name), version, at_ms(0));
+            made.record_version(host(name), version, at_ms(0));
         return made;
     }
 
     void test_the_source_has_a_moment()
     {
-        table_inquiry tested = lacking(5);
+        table_fetch_scheduler tested = lacking(5);
         CPPUNIT_ASSERT(!tested.next(at_ms(249)));
         CPPUNIT_ASSERT(tested.next(at_ms(250)));
     }
 
     void test_one_is_asked_at_a_time()
     {
-        table_inquiry tested = lacking(5);
+        table_fetch_scheduler tested = lacking(5);
         const auto first = tested.next(at_ms(250));
         CPPUNIT_ASSERT(first);
         CPPUNIT_ASSERT(!tested.next(at_ms(1249)));
@@ -64,38 +64,38 @@
 
     void test_the_newest_version_is_asked_for()
     {
-        table_inquiry tested = lacking(5);
-        tested.announced(host("d"), 7, at_ms(10));
-        const entry::table_question wanted{host("d"), 7};
+        table_fetch_scheduler tested = lacking(5);
+        tested.record_version(host("d"), 7, at_ms(10));
+        const entry::table_fetch wanted{host("d"), 7};
         CPPUNIT_ASSERT(tested.next(at_ms(260)) == wanted);
     }
 
     void test_what_is_in_force_is_not_asked_for()
     {
-        table_inquiry tested = lacking(5);
-        tested.in_force(5);
-        tested.announced(host("d"), 5, at_ms(10));
-        tested.announced(host("e"), 4, at_ms(10));
+        table_fetch_scheduler tested = lacking(5);
+        tested.set_own_version(5);
+        tested.record_version(host("d"), 5, at_ms(10));
+        tested.record_version(host("e"), 4, at_ms(10));
         CPPUNIT_ASSERT(!tested.next(at_ms(5000)));
     }
 
     // The answer may have been made before the newer version came.
     void test_a_newer_version_is_asked_for_at_once_after_an_older_one()
     {
-        table_inquiry tested = lacking(5);
+        table_fetch_scheduler tested = lacking(5);
         CPPUNIT_ASSERT(tested.next(at_ms(250)));
-        tested.announced(host("a"), 6, at_ms(260));
+        tested.record_version(host("a"), 6, at_ms(260));
         CPPUNIT_ASSERT(!tested.next(at_ms(600)));
-        tested.in_force(5);
-        const entry::table_question wanted{host("a"), 6};
+        tested.set_own_version(5);
+        const entry::table_fetch wanted{host("a"), 6};
         CPPUNIT_ASSERT(tested.next(at_ms(601)) == wanted);
     }
 
     void test_useless_answers_are_not_asked_for_in_a_row()
     {
-        table_inquiry tested = lacking(5);
+        table_fetch_scheduler tested = lacking(5);
         const auto first = tested.next(at_ms(250));
-        tested.answered(first->neighbour, at_ms(300));
+        tested.record_response(first->neighbour, at_ms(300));
         CPPUNIT_ASSERT(!tested.next(at_ms(549)));
         const auto second = tested.next(at_ms(550));
         CPPUNIT_ASSERT(second);
@@ -104,9 +104,9 @@
 
     void test_a_lost_neighbour_is_not_waited_for()
     {
-        table_inquiry tested = lacking(5);
+        table_fetch_scheduler tested = lacking(5);
         const auto first = tested.next(at_ms(250));
-        tested.lost(first->neighbour);
+        tested.remove_neighbour(first->neighbour);
         const auto second = tested.next(at_ms(251));
         CPPUNIT_ASSERT(second);
         CPPUNIT_ASSERT(first->neighbour != second->neighbour);
@@ -114,7 +114,7 @@
 
     void test_silent_neighbours_are_asked_ever_more_seldom()
     {
-        table_inquiry tested = lacking(5);
+        table_fetch_scheduler tested = lacking(5);
         std::multiset<core::host_name> asked;
         for (int now = 0; now < 60000; now += 50) {
             if (const auto question = tested.next(at_ms(now)))
@@ -131,15 +131,15 @@
     {
         std::set<core::host_name> first;
         for (int at = 0; at < 20; ++at) {
-            table_inquiry tested(host("h" + std::to_string(at)));
+            table_fetch_scheduler tested(host("h" + std::to_string(at)));
             for (const char* name : {"a", "b", "c", "d"})
-                tested.announced(host(name), 5, at_ms(0));
+                tested.record_version(host(name), 5, at_ms(0));
             first.insert(tested.next(at_ms(250))->neighbour);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, first.size());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(table_inquiry_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(table_fetch_scheduler_test);
 
 } // namespace
