--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -206,19 +206,19 @@
     [[nodiscard]] bool has_version(std::uint64_t version) const;
     void pass_over(
         const core::host_name& host, std::uint64_t version, std::size_t bytes);
-    [[nodiscard]] bool is_unread(const arrived_table& table) const;
+    [[nodiscard]] bool is_unread(const received_table& table) const;
     void table_was_read(
-        arrived_table table,
+        received_table table,
         const core::result<std::shared_ptr<const routing::route_table>>&
             routes);
     void put_in_force(
         const std::shared_ptr<const routing::route_table>& routes,
-        arrived_table table);
+        received_table table);
     void log_known(
         std::uint64_t version,
         std::string_view source,
         std::size_t bytes) const;
-    void remember(arrived_table table);
+    void remember(received_table table);
     void limit_callers(const routing::caller_limits& limits);
     void
     hear_servers(const core::host_name& host, const wire::listed_servers& said);
@@ -264,7 +264,7 @@
     core::time_point reloaded_at_{};
     table_history tables_;
     table_fetch_scheduler table_fetches_;
-    table_intake intake_;
+    table_loader loader_;
     table_request_queue<wire::link, wire::pull> table_requests_;
     server_list_readers readers_;
     wire::host_work told_work_;
--- a/services/entry/include/godwit/entry/wire_codec.hpp
+++ b/services/entry/include/godwit/entry/wire_codec.hpp
@@ -76,7 +76,7 @@
     // Begins to read a version of the route table as its operator wrote it.
     {
         Codec::start_reading_table(handle)
-        } -> std::same_as<table_reading>;
+        } -> std::same_as<table_parser>;
 };
 
 /// The functions of one codec, so that the program is compiled once.
@@ -95,7 +95,7 @@
     http::request (*write_hold_release)(const std::string&);
     http::request (*write_report_request)();
     core::result<server_report> (*read_report)(const http::response&);
-    table_reading (*start_reading_table)(std::string_view);
+    table_parser (*start_reading_table)(std::string_view);
 
     template<wire_codec Codec>
     [[nodiscard]] static constexpr codec_functions of() noexcept
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -84,12 +84,12 @@
     : io_(io), context_(io.get_executor(), std::move(settings), codec),
       calls_(context_), signals_(io), tick_timer_(io), stop_timer_(io),
       table_fetches_(context_.settings.host),
-      intake_(
+      loader_(
           io.get_executor(),
-          table_intake::handlers{
+          table_loader::handlers{
               context_.codec.start_reading_table,
-              [this](const arrived_table& table) { return is_unread(table); },
-              [this](arrived_table table, const auto& routes) {
+              [this](const received_table& table) { return is_unread(table); },
+              [this](received_table table, const auto& routes) {
                   table_was_read(std::move(table), routes);
               }}),
       readers_(context_.settings.host),
@@ -413,7 +413,7 @@
 bool entry_process::is_refreshing()
 {
     notice_stall();
-    return refresh_.is_pending(intake_.is_busy(), core::monotonic_now());
+    return refresh_.is_pending(loader_.is_busy(), core::monotonic_now());
 }
 
 // A source that was restored may have an older version than the neighbours
@@ -424,7 +424,7 @@
         is_new_in_fleet() && !has_heard_version_ &&
         core::monotonic_now() - started_at_ < greeting_span;
     return may_hear_one || table_fetches_.knows_newer_version() ||
-           intake_.is_busy();
+           loader_.is_busy();
 }
 
 void entry_process::tick()
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -28,18 +28,18 @@
 
 void entry_process::take_table(const std::string& text, std::string_view source)
 {
-    intake_.add({text, std::string(source), text.size()});
+    loader_.add({text, std::string(source), text.size()});
 }
 
 // Of a fleet's hosts most get each version twice, from the source and from a
 // neighbour.
-bool entry_process::is_unread(const arrived_table& table) const
+bool entry_process::is_unread(const received_table& table) const
 {
     return !context_.routes || table.text != tables_.text();
 }
 
 void entry_process::table_was_read(
-    arrived_table table,
+    received_table table,
     const core::result<std::shared_ptr<const routing::route_table>>& routes)
 {
     const core::host_name source(table.source);
@@ -57,7 +57,7 @@
 }
 
 // Neighbours get the changes as they came here.
-void entry_process::remember(arrived_table table)
+void entry_process::remember(received_table table)
 {
     const bool follows =
         table.changes && table.changes->base == tables_.digest();
@@ -69,7 +69,7 @@
 
 void entry_process::put_in_force(
     const std::shared_ptr<const routing::route_table>& routes,
-    arrived_table table)
+    received_table table)
 {
     const std::uint64_t version = routes->version();
     const std::uint64_t before =
@@ -107,7 +107,7 @@
 void entry_process::ask_for_table()
 {
     // What is being read may be what is lacking.
-    if (intake_.is_busy())
+    if (loader_.is_busy())
         return;
     while (const auto question = table_fetches_.next(core::monotonic_now())) {
         const auto link = neighbours_->link_to(question->neighbour);
@@ -209,7 +209,7 @@
     }
     auto text = tables_.apply(said);
     if (text)
-        intake_.add({std::move(*text), host.value(), bytes, said});
+        loader_.add({std::move(*text), host.value(), bytes, said});
     else
         refuse_changes(host, version, text.error());
 }
--- a/services/entry/src/table_intake.cpp
+++ b/services/entry/src/table_intake.cpp
@@ -11,14 +11,13 @@
 
 namespace asio = boost::asio;
 
-table_intake::table_intake(
-    asio::any_io_executor executor, handlers asked_of_host)
-    : executor_(std::move(executor)), handlers_(std::move(asked_of_host))
+table_loader::table_loader(asio::any_io_executor executor, handlers callbacks)
+    : executor_(std::move(executor)), handlers_(std::move(callbacks))
 {}
 
-void table_intake::add(arrived_table table)
+void table_loader::add(received_table table)
 {
-    if (waiting_.size() == most_waiting)
+    if (waiting_.size() == max_waiting)
         waiting_.pop_front();
     waiting_.push_back(std::move(table));
     if (std::exchange(is_running_, true))
@@ -31,12 +30,12 @@
         });
 }
 
-asio::awaitable<void> table_intake::run()
+asio::awaitable<void> table_loader::run()
 {
     while (!waiting_.empty()) {
-        arrived_table next = std::move(waiting_.front());
+        received_table next = std::move(waiting_.front());
         waiting_.pop_front();
-        if (handlers_.is_news(next))
+        if (handlers_.is_new(next))
             co_await read(std::move(next));
     }
     // Here, since what arrives until the coroutine has ended has to begin it
@@ -44,12 +43,12 @@
     is_running_ = false;
 }
 
-asio::awaitable<void> table_intake::read(arrived_table table)
+asio::awaitable<void> table_loader::read(received_table table)
 {
-    const table_reading read_on = handlers_.start(table.text);
+    const table_parser parse_slice = handlers_.start_parsing(table.text);
     while (true) {
-        if (const table_read read = read_on()) {
-            handlers_.on_read(std::move(table), *read);
+        if (const table_parse_result result = parse_slice()) {
+            handlers_.on_parsed(std::move(table), *result);
             co_return;
         }
         co_await asio::post(executor_, asio::use_awaitable);
