--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -67,50 +67,50 @@
     /// Reads a version and then puts it in force, unless a newer one already
     /// is: a process never goes back. `source` names who brought it, for the
     /// log. A table that cannot be read is logged, and the last good one stays.
-    void take_table(const std::string& text, std::string_view source);
+    void load_table(const std::string& text, std::string_view source);
 
-    void server_listed(
+    void add_or_update_server(
         const placement::backend_server& server, std::string_view source);
 
     /// The source lists the server, though perhaps with nothing new.
-    void server_is_listed(const placement::server_id& server);
+    void confirm_server(const placement::server_id& server);
 
-    void server_delisted(
-        const placement::server_id& server, std::string_view source);
+    void
+    remove_server(const placement::server_id& server, std::string_view source);
 
     /// Whether the list of servers is being read at its source. While it is,
     /// neighbours are told, and what they say of servers is passed over.
-    void set_source_current(bool is_current);
+    void set_server_list_current(bool is_current);
 
     /// The list of servers was read at its source just now.
-    void list_was_read();
+    void record_list_read();
 
     /// The newest route table was read at its source.
-    void table_source_was_read() { refresh_.record_table_read(); }
+    void record_table_source_read() { refresh_.record_table_read(); }
 
     /// The whole list of servers was read at its source.
-    void server_source_was_read() { refresh_.record_server_list_read(); }
+    void record_full_list_read() { refresh_.record_server_list_read(); }
 
     /// The source restarted from an older copy of the list: servers that it
     /// lacks stay in use while they may list themselves again.
-    void source_was_restored();
+    void record_source_restore();
 
     /// The first whole list of servers was read, or a neighbour told it;
     /// `source` names who brought it, for the log.
-    void servers_are_known(std::string_view source);
+    void mark_servers_known(std::string_view source);
 
     /// Whether this host should read the list of servers at a quick pace and
     /// tell the others; one of them is enough, and each read has its price.
-    [[nodiscard]] bool is_quick_reader() const;
+    [[nodiscard]] bool is_primary_list_reader() const;
 
     /// Whether this host may leave the list to another one of its cell, whose
     /// word reaches it at once. While its own reads fail any reader will do;
     /// otherwise it is one before this host by name.
-    [[nodiscard]] bool may_leave_list_to_others() const;
+    [[nodiscard]] bool may_rely_on_other_readers() const;
 
     /// Whether this host started a moment ago beside others, whom it has yet
     /// to hear.
-    [[nodiscard]] bool is_new_in_fleet() const;
+    [[nodiscard]] bool is_joining_fleet() const;
 
     /// How many hosts of the own cell come before this one by name.
     [[nodiscard]] std::size_t rank_in_cell() const;
@@ -133,7 +133,7 @@
 
     /// Adds a stored report of a request that crashed backend servers. `source`
     /// is logged as its origin.
-    void take_crash_report(
+    void add_crash_report(
         const admission::crash_report& report, std::string_view source);
 
     /// Clears the crashes of a request, which ends its quarantine.
--- a/services/entry/include/godwit/entry/entry_settings.hpp
+++ b/services/entry/include/godwit/entry/entry_settings.hpp
@@ -40,7 +40,8 @@
     /// These settings with what `newer` changes and a running process can
     /// take over: seeds, grace and retries. Listeners, names and the log
     /// stay as they are until the next start.
-    [[nodiscard]] entry_settings taking_over(const entry_settings& newer) const;
+    [[nodiscard]] entry_settings
+    with_reloadable_settings(const entry_settings& newer) const;
 
     /// Reads the object of these settings and refuses unknown keys. Fails
     /// with `invalid_input`.
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -96,7 +96,7 @@
       reports_(context_, [this](const placement::backend_server& server) {
           placement::backend_server leaving = server;
           leaving.state = placement::server_state::draining;
-          server_listed(leaving, "report");
+          add_or_update_server(leaving, "report");
           neighbours_->broadcast(wire::server_sign{
               core::server_address(server.address.to_string()),
               wire::sign_kind::leaving,
@@ -193,7 +193,7 @@
     callers_->set_limits(bounded(limits, context_.settings.caller_connections));
 }
 
-void entry_process::server_listed(
+void entry_process::add_or_update_server(
     const placement::backend_server& server, std::string_view source)
 {
     const placement::backend_server* known = context_.directory.find(server.id);
@@ -261,12 +261,12 @@
     context_.invalid_limits_from.erase(server);
 }
 
-void entry_process::server_is_listed(const placement::server_id& server)
+void entry_process::confirm_server(const placement::server_id& server)
 {
     context_.directory.still_listed(server);
 }
 
-void entry_process::server_delisted(
+void entry_process::remove_server(
     const placement::server_id& server, std::string_view source)
 {
     const core::time_point now = core::monotonic_now();
@@ -292,7 +292,7 @@
     context_.streams.notify_draining(server);
 }
 
-void entry_process::set_source_current(bool is_current)
+void entry_process::set_server_list_current(bool is_current)
 {
     const core::time_point now = core::monotonic_now();
     outage_.set_current(is_current, now);
@@ -307,17 +307,17 @@
         {{"current", is_current}, {"steady", is_steady}});
 }
 
-void entry_process::list_was_read()
+void entry_process::record_list_read()
 {
     readers_.record_own_read(core::monotonic_now());
 }
 
-void entry_process::source_was_restored()
+void entry_process::record_source_restore()
 {
     outage_.record_restore(core::monotonic_now());
 }
 
-void entry_process::servers_are_known(std::string_view source)
+void entry_process::mark_servers_known(std::string_view source)
 {
     if (std::exchange(has_servers_, true))
         return;
@@ -380,9 +380,9 @@
     if (now - polled_at_ < (is_current ? doubt_span : report_span))
         return;
     polled_at_ = now;
-    if (!is_current && !may_leave_list_to_others())
+    if (!is_current && !may_rely_on_other_readers())
         reports_.poll_servers_in_use();
-    else if (is_current && is_quick_reader())
+    else if (is_current && is_primary_list_reader())
         reports_.poll_all_engines();
 }
 
@@ -421,7 +421,7 @@
 bool entry_process::may_lack_version() const
 {
     const bool may_hear_one =
-        is_new_in_fleet() && !has_heard_version_ &&
+        is_joining_fleet() && !has_heard_version_ &&
         core::monotonic_now() - started_at_ < greeting_span;
     return may_hear_one || table_fetches_.knows_newer_version() ||
            loader_.is_busy();
--- a/services/entry/src/entry_process_crashes.cpp
+++ b/services/entry/src/entry_process_crashes.cpp
@@ -39,7 +39,7 @@
     return message;
 }
 
-void entry_process::take_crash_report(
+void entry_process::add_crash_report(
     const admission::crash_report& report, std::string_view source)
 {
     if (!context_.quarantine.add(report))
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -234,7 +234,7 @@
         if (!is_meant)
             continue;
         known.state = placement::server_state::draining;
-        server_listed(known, host.value());
+        add_or_update_server(known, host.value());
     }
 }
 
@@ -246,7 +246,7 @@
         if (!address)
             continue;
         const bool is_leaving = one.state != wire::server_state::live;
-        server_listed(
+        add_or_update_server(
             placement::backend_server{
                 placement::server_id(one.id),
                 one.service,
@@ -259,18 +259,18 @@
                 placement::server_start{one.started_at_ms}},
             host.value());
     }
-    servers_are_known(host.value());
+    mark_servers_known(host.value());
 }
 
 // The first by name of those that read it now. When it falls silent the next
 // one takes over. A host that has heard nobody yet would take itself for it:
 // 295 that started at once asked each engine for its report, 95,000 times.
-bool entry_process::is_quick_reader() const
+bool entry_process::is_primary_list_reader() const
 {
-    return !is_new_in_fleet() && readers_.is_primary(core::monotonic_now());
+    return !is_joining_fleet() && readers_.is_primary(core::monotonic_now());
 }
 
-bool entry_process::is_new_in_fleet() const
+bool entry_process::is_joining_fleet() const
 {
     const auto& settings = context_.settings;
     const bool has_others = std::any_of(
@@ -289,7 +289,7 @@
         mates.begin(), mates.lower_bound(context_.settings.host)));
 }
 
-bool entry_process::may_leave_list_to_others() const
+bool entry_process::may_rely_on_other_readers() const
 {
     const core::time_point now = core::monotonic_now();
     const auto& mates = neighbours_->cell_peers();
--- a/services/entry/src/entry_process_reload.cpp
+++ b/services/entry/src/entry_process_reload.cpp
@@ -46,7 +46,8 @@
 // changed which waits for the next start.
 void entry_process::take_over(const entry_settings& read)
 {
-    const entry_settings taken = context_.settings.taking_over(read);
+    const entry_settings taken =
+        context_.settings.with_reloadable_settings(read);
     log_event(
         log_level::info,
         component,
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-void entry_process::take_table(const std::string& text, std::string_view source)
+void entry_process::load_table(const std::string& text, std::string_view source)
 {
     loader_.add({text, std::string(source), text.size()});
 }
@@ -194,7 +194,7 @@
     if (has_version(said.version))
         pass_over(host, said.version, said.text.size());
     else
-        take_table(said.text, host.value());
+        load_table(said.text, host.value());
 }
 
 void entry_process::hear_changes(
--- a/services/entry/src/entry_settings.cpp
+++ b/services/entry/src/entry_settings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t most_seeds = 16;
+constexpr std::size_t max_seeds = 16;
 
 core::result<http::endpoint>
 read_endpoint(settings::reader& from, std::string_view key)
@@ -33,7 +33,7 @@
 
 core::result<std::vector<http::endpoint>> read_seeds(settings::reader& from)
 {
-    const auto addresses = GODWIT_TRY(from.get_addresses("seeds", most_seeds));
+    const auto addresses = GODWIT_TRY(from.get_addresses("seeds", max_seeds));
     std::vector<http::endpoint> seeds;
     seeds.reserve(addresses.size());
     for (const settings::address& one : addresses)
@@ -43,7 +43,8 @@
 
 } // namespace
 
-entry_settings entry_settings::taking_over(const entry_settings& newer) const
+entry_settings
+entry_settings::with_reloadable_settings(const entry_settings& newer) const
 {
     entry_settings taken = *this;
     taken.seeds = newer.seeds;
--- a/tests/platform_adapter/new_host_test.cpp
+++ b/tests/platform_adapter/new_host_test.cpp
@@ -38,15 +38,15 @@
     {
         const auto other = http::endpoint::parse("127.0.0.1:1").value();
         const auto process = started({other});
-        CPPUNIT_ASSERT(process->is_new_in_fleet());
-        CPPUNIT_ASSERT(!process->is_quick_reader());
+        CPPUNIT_ASSERT(process->is_joining_fleet());
+        CPPUNIT_ASSERT(!process->is_primary_list_reader());
     }
 
     void test_a_host_alone_is_the_quick_reader_at_once()
     {
         const auto process = started({});
-        CPPUNIT_ASSERT(!process->is_new_in_fleet());
-        CPPUNIT_ASSERT(process->is_quick_reader());
+        CPPUNIT_ASSERT(!process->is_joining_fleet());
+        CPPUNIT_ASSERT(process->is_primary_list_reader());
     }
 };
 
