--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -158,91 +158,98 @@
     void set_gauges();
     void wait_for_signal();
     void on_signal(int number);
-    void take_over(const entry_settings& read);
+    void apply_settings(const entry_settings& read);
     void begin_stop();
     void watch_stop();
     void tick();
-    void notice_stall();
+    void detect_stall();
     [[nodiscard]] bool is_refreshing();
     [[nodiscard]] bool may_lack_version() const;
-    void
-    appeared(const placement::backend_server& server, std::string_view source);
-    void left(const placement::server_id& server, std::string_view source);
-    void former_life_ended(
+    void on_server_added(
+        const placement::backend_server& server, std::string_view source);
+    void on_server_leaving(
+        const placement::server_id& server, std::string_view source);
+    void on_server_restarted(
         const placement::server_id& server,
         const http::endpoint& address,
         std::string_view source);
-    void avoid_silent_servers();
+    void avoid_unresponsive_servers();
     void compare_paces();
     void
     compare_paces_of(const routing::service& service, core::time_point now);
     void poll_reports();
-    void tell_work();
-    void tell_work_soon();
-    void tell_cell();
-    void tell_servers();
-    [[nodiscard]] wire::listed_servers servers_to_tell() const;
+    void broadcast_load();
+    void schedule_load_broadcast();
+    void broadcast_cell_load();
+    void broadcast_changed_servers();
+    [[nodiscard]] wire::listed_servers servers_message() const;
     [[nodiscard]] wire::listed_server
-    server_to_tell(const placement::server_id& id) const;
-    [[nodiscard]] wire::host_work work_to_tell() const;
+    server_entry(const placement::server_id& id) const;
+    [[nodiscard]] wire::host_work load_message() const;
     [[nodiscard]] std::vector<wire::message>
-    greeting(const wire::hello& peer) const;
-    void hear(const std::shared_ptr<wire::link>& from, wire::message said);
-    void hear_version(const core::host_name& host, std::uint64_t version);
+    initial_messages(const wire::hello& peer) const;
     void
-    hear_pull(const std::shared_ptr<wire::link>& from, const wire::pull& said);
-    void ask_for_table();
-    void serve_table_askers();
+    handle_message(const std::shared_ptr<wire::link>& from, wire::message said);
     void
-    hear_table(const core::host_name& host, const wire::table_document& said);
-    void tell_table(wire::link& to, const wire::pull& asked);
-    void send_table(wire::link& to, wire::message table, std::size_t bytes);
+    handle_table_version(const core::host_name& host, std::uint64_t version);
+    void handle_table_request(
+        const std::shared_ptr<wire::link>& from, const wire::pull& said);
+    void request_table();
+    void serve_table_requests();
     void
-    hear_changes(const core::host_name& host, const wire::table_changes& said);
-    void refuse_changes(
+    handle_table(const core::host_name& host, const wire::table_document& said);
+    void answer_table_request(wire::link& to, const wire::pull& asked);
+    void send_table(wire::link& to, wire::message table, std::size_t bytes);
+    void handle_table_changes(
+        const core::host_name& host, const wire::table_changes& said);
+    void reject_changes(
         const core::host_name& host,
         std::uint64_t version,
         const core::error& why);
     [[nodiscard]] bool has_version(std::uint64_t version) const;
-    void pass_over(
+    void discard_known_table(
         const core::host_name& host, std::uint64_t version, std::size_t bytes);
-    [[nodiscard]] bool is_unread(const received_table& table) const;
-    void table_was_read(
+    [[nodiscard]] bool is_new_table(const received_table& table) const;
+    void on_table_parsed(
         received_table table,
         const core::result<std::shared_ptr<const routing::route_table>>&
             routes);
-    void put_in_force(
+    void activate_table(
         const std::shared_ptr<const routing::route_table>& routes,
         received_table table);
-    void log_known(
+    void log_known_version(
         std::uint64_t version,
         std::string_view source,
         std::size_t bytes) const;
-    void remember(received_table table);
-    void limit_callers(const routing::caller_limits& limits);
+    void add_to_history(received_table table);
+    void apply_caller_limits(const routing::caller_limits& limits);
+    void handle_servers(
+        const core::host_name& host, const wire::listed_servers& said);
+    void handle_server_notice(
+        const core::host_name& host, const wire::server_sign& said);
+    void handle_link_claim(
+        const core::host_name& host, const wire::link_claim& said);
+    void handle_host_load(const wire::hello& peer, const wire::host_work& said);
     void
-    hear_servers(const core::host_name& host, const wire::listed_servers& said);
-    void hear_sign(const core::host_name& host, const wire::server_sign& said);
-    void hear_claim(const core::host_name& host, const wire::link_claim& said);
-    void hear_work(const wire::hello& peer, const wire::host_work& said);
-    void hear_cell(const core::host_name& host, const wire::cell_work& said);
+    handle_cell_load(const core::host_name& host, const wire::cell_work& said);
     void tell_limit(const placement::server_limit& limit, unsigned sends);
-    [[nodiscard]] wire::server_limits limits_to_tell() const;
+    [[nodiscard]] wire::server_limits limits_message() const;
     void
-    hear_limits(const core::host_name& host, const wire::server_limits& said);
-    void refuse_limits(const core::host_name& host, const core::error& why);
+    handle_limits(const core::host_name& host, const wire::server_limits& said);
+    void reject_limits(const core::host_name& host, const core::error& why);
     void update_limit_share();
     void forget_limit(const placement::server_id& server);
     [[nodiscard]] std::size_t host_rank(std::string_view key) const;
-    [[nodiscard]] wire::crash_reports crash_reports_to_tell() const;
-    void hear_crash_reports(
+    [[nodiscard]] wire::crash_reports crash_reports_message() const;
+    void handle_crash_reports(
         const core::host_name& host, const wire::crash_reports& said);
     void
-    refuse_crash_reports(const core::host_name& host, const core::error& why);
-    [[nodiscard]] std::vector<placement::server_work> believed(
+    reject_crash_reports(const core::host_name& host, const core::error& why);
+    [[nodiscard]] std::vector<placement::server_work> valid_load(
         const core::host_name& host,
         const std::vector<wire::server_work>& said);
-    void hear_reader(const core::host_name& host, const wire::host_work& said);
+    void update_list_readers(
+        const core::host_name& host, const wire::host_work& said);
 
     boost::asio::io_context& io_;
     entry_context context_;
@@ -256,28 +263,28 @@
     core::time_point started_at_{};
     core::time_point last_tick_at_{};
     source_refresh refresh_;
-    bool has_heard_version_ = false; ///< Of the route table, from anybody.
+    bool has_received_version_ = false; ///< Of the route table, from anybody.
     core::time_point stop_began_{};
     std::unique_ptr<neighbour_links> neighbours_;
     settings_reader read_settings_;
-    std::optional<entry_settings> last_read_; ///< As the file said it.
+    std::optional<entry_settings> last_read_settings_; ///< As the file said it.
     core::time_point reloaded_at_{};
     table_history tables_;
     table_fetch_scheduler table_fetches_;
     table_loader loader_;
     table_request_queue<wire::link, wire::pull> table_requests_;
     server_list_readers readers_;
-    wire::host_work told_work_;
-    core::time_point told_work_at_{};
+    wire::host_work last_sent_load_;
+    core::time_point load_sent_at_{};
     cell_load_reporter load_reporter_;
-    core::time_point told_cell_at_{};
-    core::time_point told_reader_at_{};
+    core::time_point cell_load_sent_at_{};
+    core::time_point reader_state_sent_at_{};
     report_poller reports_;
     core::time_point polled_at_{};
     server_list_outage outage_;
-    std::set<placement::server_id> changed_servers_; ///< Not told yet.
+    std::set<placement::server_id> unsent_servers_; ///< Not told yet.
     core::time_point compared_at_{};
-    std::set<core::host_name> false_gaps_from_; ///< Hosts that were logged.
+    std::set<core::host_name> invalid_gaps_from_; ///< Hosts that were logged.
     /// Hosts whose malformed crash reports were logged.
     std::set<core::host_name> malformed_crash_reports_from_;
     /// Hosts whose malformed limits were logged.
@@ -285,7 +292,7 @@
     std::set<core::host_name> fleet_hosts_;
     std::size_t fleet_size_ = 1;
     bool is_fleet_known_ = false;
-    bool is_telling_work_ = false;
+    bool is_load_broadcast_scheduled_ = false;
     bool has_servers_ = false;
     bool was_ready_ = false;
 };
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -21,35 +21,36 @@
 
 constexpr std::string_view component = "entry";
 // How often waiting requests try again and lapsed servers are looked at.
-constexpr core::duration tick_span = std::chrono::milliseconds(50);
+constexpr core::duration tick_interval = std::chrono::milliseconds(50);
 // An interval between two ticks of at least this length is logged: the process
 // was suspended, stopped or starved of CPU time.
 constexpr core::duration stall_threshold = std::chrono::seconds(1);
 // How long a host that starts beside others may take until it has heard one.
-constexpr core::duration greeting_span = std::chrono::seconds(1);
+constexpr core::duration first_message_timeout = std::chrono::seconds(1);
 // A server gives about two seconds of notice, of which the copies need one.
-constexpr core::duration report_span = std::chrono::milliseconds(250);
+constexpr core::duration outage_poll_interval = std::chrono::milliseconds(250);
 // Events come some thirty milliseconds apart; a batch that reads several
 // prompts at once is slower by a factor of five.
-constexpr core::duration silent_span = std::chrono::milliseconds(700);
+constexpr core::duration unresponsive_threshold =
+    std::chrono::milliseconds(700);
 // Of about two seconds of notice the copies need one; each question has its
 // price.
-constexpr core::duration doubt_span = std::chrono::milliseconds(600);
+constexpr core::duration regular_poll_interval = std::chrono::milliseconds(600);
 // The settings file may change without a signal.
-constexpr core::duration reload_span = std::chrono::seconds(5);
+constexpr core::duration reload_interval = std::chrono::seconds(5);
 // The table's limits come from outside; a buffer of this size a connection
 // is the most that the memory of a small host can bear.
-constexpr std::size_t most_header_bytes = std::size_t{256} * 1024;
+constexpr std::size_t max_header_bytes = std::size_t{256} * 1024;
 // Memory for a body is set aside when it begins, as much as its caller says:
 // more than there is would end the process.
-constexpr std::size_t most_body_bytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t max_body_bytes = std::size_t{64} * 1024 * 1024;
 
 http::server_limits
-bounded(const routing::caller_limits& limits, std::size_t connections)
+clamp_limits(const routing::caller_limits& limits, std::size_t connections)
 {
     http::server_limits made;
-    made.header_bytes = std::min(limits.header_bytes, most_header_bytes);
-    made.body_bytes = std::min(limits.body_bytes, most_body_bytes);
+    made.header_bytes = std::min(limits.header_bytes, max_header_bytes);
+    made.body_bytes = std::min(limits.body_bytes, max_body_bytes);
     made.header_timeout = limits.header_timeout;
     made.idle_timeout = limits.idle_timeout;
     made.connections = connections;
@@ -88,9 +89,11 @@
           io.get_executor(),
           table_loader::handlers{
               context_.codec.start_reading_table,
-              [this](const received_table& table) { return is_unread(table); },
+              [this](const received_table& table) {
+                  return is_new_table(table);
+              },
               [this](received_table table, const auto& routes) {
-                  table_was_read(std::move(table), routes);
+                  on_table_parsed(std::move(table), routes);
               }}),
       readers_(context_.settings.host),
       reports_(context_, [this](const placement::backend_server& server) {
@@ -109,7 +112,7 @@
 {
     http::server_settings callers{
         .address = context_.settings.callers,
-        .limits = bounded(
+        .limits = clamp_limits(
             routing::caller_limits(), context_.settings.caller_connections),
         .on_rejection = &reject,
         .on_fault = &log_connection_fault};
@@ -137,10 +140,10 @@
         io_.get_executor(),
         context_.settings,
         neighbour_handlers{
-            [this](const wire::hello& peer) { return greeting(peer); },
+            [this](const wire::hello& peer) { return initial_messages(peer); },
             [this](
                 const std::shared_ptr<wire::link>& from, wire::message said) {
-                hear(from, std::move(said));
+                handle_message(from, std::move(said));
             }}));
     return {};
 }
@@ -156,7 +159,7 @@
         neighbours_->broadcast(said);
     };
     context_.on_work_added = [this] {
-        tell_work_soon();
+        schedule_load_broadcast();
     };
     context_.host_rank = [this](std::string_view key) {
         return host_rank(key);
@@ -188,9 +191,10 @@
     return context_.routes && has_servers_ && !context_.is_stopping;
 }
 
-void entry_process::limit_callers(const routing::caller_limits& limits)
+void entry_process::apply_caller_limits(const routing::caller_limits& limits)
 {
-    callers_->set_limits(bounded(limits, context_.settings.caller_connections));
+    callers_->set_limits(
+        clamp_limits(limits, context_.settings.caller_connections));
 }
 
 void entry_process::add_or_update_server(
@@ -203,24 +207,24 @@
     case placement::directory_change::none:
         return;
     case placement::directory_change::left:
-        left(server.id, source);
+        on_server_leaving(server.id, source);
         return;
     case placement::directory_change::restarted:
-        former_life_ended(server.id, former, source);
+        on_server_restarted(server.id, former, source);
         break;
     case placement::directory_change::appeared:
         break;
     }
     if (context_.directory.is_usable(server.id))
-        appeared(server, source);
+        on_server_added(server, source);
     else
-        left(server.id, source);
+        on_server_leaving(server.id, source);
 }
 
-void entry_process::appeared(
+void entry_process::on_server_added(
     const placement::backend_server& server, std::string_view source)
 {
-    changed_servers_.insert(server.id);
+    unsent_servers_.insert(server.id);
     context_.connections->forget(server.address);
     context_.queue.wake_first();
     // Those of the first list are told together.
@@ -239,7 +243,7 @@
 // Connections, failures and runs were the former life's. Reservations end
 // with the streams that hold them: each still waits for its own connection to
 // say how it ended.
-void entry_process::former_life_ended(
+void entry_process::on_server_restarted(
     const placement::server_id& server,
     const http::endpoint& address,
     std::string_view source)
@@ -273,10 +277,10 @@
     const auto change =
         context_.directory.delisted(server, outage_.state_at(now), now);
     if (change == placement::directory_change::left)
-        left(server, source);
+        on_server_leaving(server, source);
 }
 
-void entry_process::left(
+void entry_process::on_server_leaving(
     const placement::server_id& server, std::string_view source)
 {
     log_event(
@@ -285,8 +289,8 @@
         "server_left",
         {{"server", server}, {"source", source}});
     // At once, and on from host to host: the notice is short.
-    changed_servers_.insert(server);
-    tell_servers();
+    unsent_servers_.insert(server);
+    broadcast_changed_servers();
     context_.health.forget(server);
     forget_limit(server);
     context_.streams.notify_draining(server);
@@ -350,17 +354,17 @@
                 return known.name == host;
             });
     };
-    std::erase_if(false_gaps_from_, is_unknown);
+    std::erase_if(invalid_gaps_from_, is_unknown);
     std::erase_if(malformed_crash_reports_from_, is_unknown);
     std::erase_if(malformed_limits_from_, is_unknown);
 }
 
 // New requests at a server that hangs would be lost with those that run.
-void entry_process::avoid_silent_servers()
+void entry_process::avoid_unresponsive_servers()
 {
     const core::time_point now = core::monotonic_now();
     for (const auto& id :
-         context_.streams.unresponsive_servers(silent_span, now)) {
+         context_.streams.unresponsive_servers(unresponsive_threshold, now)) {
         if (context_.health.is_avoided(id, now))
             continue;
         context_.health.record_unreachable(id, now);
@@ -377,7 +381,8 @@
 {
     const core::time_point now = core::monotonic_now();
     const bool is_current = outage_.is_current();
-    if (now - polled_at_ < (is_current ? doubt_span : report_span))
+    if (now - polled_at_ <
+        (is_current ? regular_poll_interval : outage_poll_interval))
         return;
     polled_at_ = now;
     if (!is_current && !may_rely_on_other_readers())
@@ -388,7 +393,7 @@
 
 // The clock and timers include the stall, so nothing is expired here. What the
 // sources said meanwhile is still to be read.
-void entry_process::notice_stall()
+void entry_process::detect_stall()
 {
     const core::time_point now = core::monotonic_now();
     const core::duration elapsed = now - last_tick_at_;
@@ -412,7 +417,7 @@
 // after a suspension.
 bool entry_process::is_refreshing()
 {
-    notice_stall();
+    detect_stall();
     return refresh_.is_pending(loader_.is_busy(), core::monotonic_now());
 }
 
@@ -421,32 +426,32 @@
 bool entry_process::may_lack_version() const
 {
     const bool may_hear_one =
-        is_joining_fleet() && !has_heard_version_ &&
-        core::monotonic_now() - started_at_ < greeting_span;
+        is_joining_fleet() && !has_received_version_ &&
+        core::monotonic_now() - started_at_ < first_message_timeout;
     return may_hear_one || table_fetches_.knows_newer_version() ||
            loader_.is_busy();
 }
 
 void entry_process::tick()
 {
-    notice_stall();
+    detect_stall();
     last_tick_at_ = core::monotonic_now();
     for (const auto& gone : context_.directory.expire(core::monotonic_now()))
-        left(gone, "lapsed");
+        on_server_leaving(gone, "lapsed");
     context_.quarantine.expire(core::monotonic_now());
     update_limit_share();
     context_.queue.wake_first();
-    tell_servers();
-    tell_work();
-    tell_cell();
-    ask_for_table();
-    serve_table_askers();
-    avoid_silent_servers();
+    broadcast_changed_servers();
+    broadcast_load();
+    broadcast_cell_load();
+    request_table();
+    serve_table_requests();
+    avoid_unresponsive_servers();
     compare_paces();
     poll_reports();
-    if (core::monotonic_now() - reloaded_at_ >= reload_span)
+    if (core::monotonic_now() - reloaded_at_ >= reload_interval)
         reload();
-    tick_timer_.expires_after(tick_span);
+    tick_timer_.expires_after(tick_interval);
     tick_timer_.async_wait([this](const auto& failure) {
         if (!failure)
             tick();
--- a/services/entry/src/entry_process_crashes.cpp
+++ b/services/entry/src/entry_process_crashes.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-wire::crash_reports entry_process::crash_reports_to_tell() const
+wire::crash_reports entry_process::crash_reports_message() const
 {
     const core::time_point now = core::monotonic_now();
     wire::crash_reports message;
@@ -72,7 +72,7 @@
 }
 
 // Forwards changes, so that they reach hosts to which their source has no link.
-void entry_process::hear_crash_reports(
+void entry_process::handle_crash_reports(
     const core::host_name& host, const wire::crash_reports& said)
 {
     const core::time_point now = core::monotonic_now();
@@ -82,7 +82,7 @@
     for (const wire::crash_report& received : said.reports) {
         const auto report = to_crash_report(received, now);
         if (!report) {
-            refuse_crash_reports(host, report.error());
+            reject_crash_reports(host, report.error());
             return;
         }
         if (!context_.quarantine.add(*report)) {
@@ -100,7 +100,7 @@
     for (const std::string& completed : said.completed) {
         const auto request = to_fingerprint(completed);
         if (!request) {
-            refuse_crash_reports(host, request.error());
+            reject_crash_reports(host, request.error());
             return;
         }
         if (!context_.quarantine.remove(*request, now))
@@ -116,7 +116,7 @@
 }
 
 // Counts every refused message, but logs only the first one from each host.
-void entry_process::refuse_crash_reports(
+void entry_process::reject_crash_reports(
     const core::host_name& host, const core::error& why)
 {
     context_.metrics
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -30,7 +30,7 @@
         sends > 0 ? audience::cell : audience::all);
 }
 
-wire::server_limits entry_process::limits_to_tell() const
+wire::server_limits entry_process::limits_message() const
 {
     const core::time_point now = core::monotonic_now();
     wire::server_limits message;
@@ -39,14 +39,14 @@
     return message;
 }
 
-void entry_process::hear_limits(
+void entry_process::handle_limits(
     const core::host_name& host, const wire::server_limits& said)
 {
     const core::time_point now = core::monotonic_now();
     for (const wire::server_limit& received : said.limits) {
         const auto limit = to_server_limit(received, now);
         if (!limit) {
-            refuse_limits(host, limit.error());
+            reject_limits(host, limit.error());
             return;
         }
         if (context_.limits.update_from_neighbour(*limit)) {
@@ -59,7 +59,7 @@
 }
 
 // Counts every refused message, but logs only the first one from each host.
-void entry_process::refuse_limits(
+void entry_process::reject_limits(
     const core::host_name& host, const core::error& why)
 {
     context_.metrics
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -23,14 +23,14 @@
 
 constexpr std::string_view component = "neighbours";
 // Neighbours forget what a host has at work after some seconds of silence.
-constexpr core::duration work_refresh = std::chrono::milliseconds(500);
+constexpr core::duration load_refresh_interval = std::chrono::milliseconds(500);
 // A neighbour that dies while it holds a link holds up others no longer.
-constexpr core::duration longest_link_claim = std::chrono::milliseconds(500);
+constexpr core::duration max_link_claim = std::chrono::milliseconds(500);
 // Until a host that starts beside others has links to them and has heard who
 // reads the list.
-constexpr core::duration linking_span = std::chrono::seconds(4);
+constexpr core::duration joining_duration = std::chrono::seconds(4);
 
-bool is_same_but_growth(
+bool differs_only_in_growth(
     const wire::host_work& left, const wire::host_work& right)
 {
     return std::equal(
@@ -52,19 +52,19 @@
 } // namespace
 
 std::vector<wire::message>
-entry_process::greeting(const wire::hello& peer) const
+entry_process::initial_messages(const wire::hello& peer) const
 {
     std::vector<wire::message> said;
     if (context_.routes)
         said.emplace_back(
             wire::catalogue_position{context_.routes->version(), 0});
     if (outage_.is_current())
-        said.emplace_back(servers_to_tell());
-    said.emplace_back(work_to_tell());
+        said.emplace_back(servers_message());
+    said.emplace_back(load_message());
     if (!context_.quarantine.empty())
-        said.emplace_back(crash_reports_to_tell());
+        said.emplace_back(crash_reports_message());
     if (!context_.limits.empty())
-        said.emplace_back(limits_to_tell());
+        said.emplace_back(limits_message());
     // Afterwards it hears what changes.
     if (!neighbours_->is_cell_peer(peer.host)) {
         if (auto sums = load_reporter_.full(neighbours_->cell()))
@@ -73,16 +73,16 @@
     return said;
 }
 
-wire::listed_servers entry_process::servers_to_tell() const
+wire::listed_servers entry_process::servers_message() const
 {
     wire::listed_servers said;
     for (const auto& id : context_.directory.ids())
-        said.servers.push_back(server_to_tell(id));
+        said.servers.push_back(server_entry(id));
     return said;
 }
 
 wire::listed_server
-entry_process::server_to_tell(const placement::server_id& id) const
+entry_process::server_entry(const placement::server_id& id) const
 {
     const placement::backend_server& known = *context_.directory.find(id);
     const bool is_leaving = !context_.directory.is_usable(id);
@@ -97,7 +97,7 @@
         known.start.unix_ms};
 }
 
-wire::host_work entry_process::work_to_tell() const
+wire::host_work entry_process::load_message() const
 {
     wire::host_work said;
     for (const auto& [server, work] : context_.ledger.own())
@@ -114,50 +114,50 @@
     return said;
 }
 
-void entry_process::tell_servers()
+void entry_process::broadcast_changed_servers()
 {
-    if (changed_servers_.empty())
+    if (unsent_servers_.empty())
         return;
     wire::listed_servers said;
-    for (const auto& id : std::exchange(changed_servers_, {})) {
+    for (const auto& id : std::exchange(unsent_servers_, {})) {
         if (context_.directory.find(id) != nullptr)
-            said.servers.push_back(server_to_tell(id));
+            said.servers.push_back(server_entry(id));
     }
     neighbours_->broadcast(said);
 }
 
-void entry_process::tell_work()
+void entry_process::broadcast_load()
 {
     const core::time_point now = core::monotonic_now();
-    wire::host_work said = work_to_tell();
+    wire::host_work said = load_message();
     // Runs grow with each event; that alone may wait.
-    if (is_same_but_growth(said, told_work_) &&
-        now - told_work_at_ < work_refresh)
+    if (differs_only_in_growth(said, last_sent_load_) &&
+        now - load_sent_at_ < load_refresh_interval)
         return;
     neighbours_->broadcast(said, audience::cell);
-    told_work_ = std::move(said);
-    told_work_at_ = now;
+    last_sent_load_ = std::move(said);
+    load_sent_at_ = now;
 }
 
 // Hosts of other cells need no more than the sums of this one; each of them
 // hears them from its counterparts here. Who has not heard most of its cell
 // itself would tell too little.
-void entry_process::tell_cell()
+void entry_process::broadcast_cell_load()
 {
     const core::time_point now = core::monotonic_now();
-    if (now - told_reader_at_ >= work_refresh) {
-        told_reader_at_ = now;
-        wire::host_work said = work_to_tell();
+    if (now - reader_state_sent_at_ >= load_refresh_interval) {
+        reader_state_sent_at_ = now;
+        wire::host_work said = load_message();
         said.work.clear();
         neighbours_->broadcast(said, audience::other_cells);
     }
     const bool is_due =
-        now - told_cell_at_ >= cell_load_reporter::report_interval;
+        now - cell_load_sent_at_ >= cell_load_reporter::report_interval;
     if (!is_due || neighbours_->cell().empty() ||
         2 * context_.ledger.active_neighbours(now) <
             neighbours_->cell_peers().size())
         return;
-    told_cell_at_ = now;
+    cell_load_sent_at_ = now;
     const auto said = load_reporter_.next(
         neighbours_->cell(), context_.ledger.own_and_neighbours(now), now);
     if (said)
@@ -167,49 +167,49 @@
 // At once, so that hosts which choose within milliseconds of each other do
 // not all choose the server that was the emptiest; what ends may wait for the
 // next tick.
-void entry_process::tell_work_soon()
+void entry_process::schedule_load_broadcast()
 {
-    if (std::exchange(is_telling_work_, true))
+    if (std::exchange(is_load_broadcast_scheduled_, true))
         return;
     asio::post(io_, [this] {
-        is_telling_work_ = false;
-        tell_work();
+        is_load_broadcast_scheduled_ = false;
+        broadcast_load();
     });
 }
 
-void entry_process::hear(
+void entry_process::handle_message(
     const std::shared_ptr<wire::link>& from, wire::message said)
 {
     const wire::hello& peer = *from->peer();
     if (const auto* newest = std::get_if<wire::catalogue_position>(&said))
-        hear_version(peer.host, newest->next_offset);
+        handle_table_version(peer.host, newest->next_offset);
     else if (const auto* asked = std::get_if<wire::pull>(&said))
-        hear_pull(from, *asked);
+        handle_table_request(from, *asked);
     else if (const auto* table = std::get_if<wire::table_document>(&said))
-        hear_table(peer.host, *table);
+        handle_table(peer.host, *table);
     else if (const auto* changes = std::get_if<wire::table_changes>(&said))
-        hear_changes(peer.host, *changes);
+        handle_table_changes(peer.host, *changes);
     else if (const auto* servers = std::get_if<wire::listed_servers>(&said))
-        hear_servers(peer.host, *servers);
+        handle_servers(peer.host, *servers);
     else if (const auto* work = std::get_if<wire::host_work>(&said))
-        hear_work(peer, *work);
+        handle_host_load(peer, *work);
     else if (const auto* sign = std::get_if<wire::server_sign>(&said))
-        hear_sign(peer.host, *sign);
+        handle_server_notice(peer.host, *sign);
     else if (const auto* claim = std::get_if<wire::link_claim>(&said))
-        hear_claim(peer.host, *claim);
+        handle_link_claim(peer.host, *claim);
     else if (const auto* cell = std::get_if<wire::cell_work>(&said))
-        hear_cell(peer.host, *cell);
+        handle_cell_load(peer.host, *cell);
     else if (const auto* crashes = std::get_if<wire::crash_reports>(&said))
-        hear_crash_reports(peer.host, *crashes);
+        handle_crash_reports(peer.host, *crashes);
     else if (const auto* limits = std::get_if<wire::server_limits>(&said))
-        hear_limits(peer.host, *limits);
+        handle_limits(peer.host, *limits);
 }
 
-void entry_process::hear_claim(
+void entry_process::handle_link_claim(
     const core::host_name& host, const wire::link_claim& said)
 {
     const core::duration hold = std::min<core::duration>(
-        std::chrono::milliseconds(said.hold_ms), longest_link_claim);
+        std::chrono::milliseconds(said.hold_ms), max_link_claim);
     std::vector<placement::server_id> servers;
     for (const std::string& id : said.servers)
         servers.emplace_back(id);
@@ -219,7 +219,7 @@
 
 // A neighbour asked the server itself. Its word may come late: then it is said
 // of a life that ended, and another one may be at the address.
-void entry_process::hear_sign(
+void entry_process::handle_server_notice(
     const core::host_name& host, const wire::server_sign& said)
 {
     if (said.kind != wire::sign_kind::leaving)
@@ -238,7 +238,7 @@
     }
 }
 
-void entry_process::hear_servers(
+void entry_process::handle_servers(
     const core::host_name& host, const wire::listed_servers& said)
 {
     for (const wire::listed_server& one : said.servers) {
@@ -279,7 +279,7 @@
         [&settings](const http::endpoint& seed) {
             return seed != settings.neighbours;
         });
-    return has_others && core::monotonic_now() - started_at_ < linking_span;
+    return has_others && core::monotonic_now() - started_at_ < joining_duration;
 }
 
 std::size_t entry_process::rank_in_cell() const
@@ -299,7 +299,7 @@
                                 : readers_.has_reader(mates, now);
 }
 
-void entry_process::hear_reader(
+void entry_process::update_list_readers(
     const core::host_name& host, const wire::host_work& said)
 {
     const core::time_point now = core::monotonic_now();
@@ -311,7 +311,7 @@
 }
 
 // Counted each time, told once a host.
-std::vector<placement::server_work> entry_process::believed(
+std::vector<placement::server_work> entry_process::valid_load(
     const core::host_name& host, const std::vector<wire::server_work>& said)
 {
     received_load heard = from_wire(said);
@@ -322,7 +322,7 @@
             "godwit_refused_gaps_total",
             "Gaps between events that a neighbour told and that cannot be.")
         .Increment(static_cast<double>(heard.refused_gaps));
-    if (false_gaps_from_.insert(host).second)
+    if (invalid_gaps_from_.insert(host).second)
         log_event(
             log_level::warning,
             component,
@@ -331,12 +331,12 @@
     return std::move(heard.work);
 }
 
-void entry_process::hear_work(
+void entry_process::handle_host_load(
     const wire::hello& peer, const wire::host_work& said)
 {
     const core::host_name& host = peer.host;
-    const auto work = believed(host, said.work);
-    hear_reader(host, said);
+    const auto work = valid_load(host, said.work);
+    update_list_readers(host, said);
     if (said.reads_list)
         outage_.record_neighbour_read(core::monotonic_now());
     // The greeting of a host of another cell: its cell's sums hold its work.
@@ -345,10 +345,10 @@
     context_.ledger.update_from_neighbour(host, work, core::monotonic_now());
 }
 
-void entry_process::hear_cell(
+void entry_process::handle_cell_load(
     const core::host_name& host, const wire::cell_work& said)
 {
-    const auto work = believed(host, said.work);
+    const auto work = valid_load(host, said.work);
     const placement::host_group cell(said.cell);
     if (cell == neighbours_->cell())
         return;
--- a/services/entry/src/entry_process_paces.cpp
+++ b/services/entry/src/entry_process_paces.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 // Sums of other cells come this often; two late events take longer.
-constexpr core::duration compare_span = std::chrono::milliseconds(100);
+constexpr core::duration comparison_interval = std::chrono::milliseconds(100);
 
 } // namespace
 
 void entry_process::compare_paces()
 {
     const core::time_point now = core::monotonic_now();
-    if (!context_.routes || now - compared_at_ < compare_span)
+    if (!context_.routes || now - compared_at_ < comparison_interval)
         return;
     compared_at_ = now;
     for (const routing::service& service :
--- a/services/entry/src/entry_process_reload.cpp
+++ b/services/entry/src/entry_process_reload.cpp
@@ -34,17 +34,17 @@
             {{"cause", read.error().to_string()}});
         return;
     }
-    if (!last_read_)
-        last_read_ = context_.settings;
-    if (*read == *last_read_)
+    if (!last_read_settings_)
+        last_read_settings_ = context_.settings;
+    if (*read == *last_read_settings_)
         return;
-    last_read_ = *read;
-    take_over(*read);
+    last_read_settings_ = *read;
+    apply_settings(*read);
 }
 
 // Said once for each change of the file: `restart` means that something
 // changed which waits for the next start.
-void entry_process::take_over(const entry_settings& read)
+void entry_process::apply_settings(const entry_settings& read)
 {
     const entry_settings taken =
         context_.settings.with_reloadable_settings(read);
--- a/services/entry/src/entry_process_stop.cpp
+++ b/services/entry/src/entry_process_stop.cpp
@@ -15,10 +15,11 @@
 constexpr std::string_view component = "entry";
 // A balancer asks each second and takes a host out after two misses; new
 // connections come that long after the order to stop.
-constexpr core::duration accepting_after_stop = std::chrono::milliseconds(2600);
+constexpr core::duration accept_duration_after_stop =
+    std::chrono::milliseconds(2600);
 // What is left of the grace for closing sockets and ending.
 constexpr core::duration exit_margin = std::chrono::milliseconds(350);
-constexpr core::duration stop_watch_span = std::chrono::milliseconds(50);
+constexpr core::duration stop_check_interval = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -61,10 +62,10 @@
 void entry_process::watch_stop()
 {
     const core::duration since = core::monotonic_now() - stop_began_;
-    if (since >= accepting_after_stop)
+    if (since >= accept_duration_after_stop)
         callers_->stop_accepting();
-    const bool is_idle =
-        since >= accepting_after_stop && callers_->open_connections() == 0;
+    const bool is_idle = since >= accept_duration_after_stop &&
+                         callers_->open_connections() == 0;
     if (is_idle || since >= context_.settings.stop_grace - exit_margin) {
         log_event(
             log_level::info,
@@ -74,7 +75,7 @@
         io_.stop();
         return;
     }
-    stop_timer_.expires_after(stop_watch_span);
+    stop_timer_.expires_after(stop_check_interval);
     stop_timer_.async_wait([this](const auto& failure) {
         if (!failure)
             watch_stop();
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::string_view component = "tables";
 // Of a message between hosts, with room for what is said beside the table.
-constexpr std::size_t most_table_bytes =
+constexpr std::size_t max_table_bytes =
     wire::default_frame_limit - std::size_t{4} * 1024;
 
-std::size_t bytes_of(const wire::table_changes& changes)
+std::size_t payload_bytes(const wire::table_changes& changes)
 {
     std::size_t bytes = 0;
     for (const wire::table_step& step : changes.steps)
@@ -33,12 +33,12 @@
 
 // Of a fleet's hosts most get each version twice, from the source and from a
 // neighbour.
-bool entry_process::is_unread(const received_table& table) const
+bool entry_process::is_new_table(const received_table& table) const
 {
     return !context_.routes || table.text != tables_.text();
 }
 
-void entry_process::table_was_read(
+void entry_process::on_table_parsed(
     received_table table,
     const core::result<std::shared_ptr<const routing::route_table>>& routes)
 {
@@ -50,14 +50,15 @@
             "table_refused",
             {{"source", table.source}, {"cause", routes.error().to_string()}});
     else if (has_version((*routes)->version()))
-        log_known((*routes)->version(), table.source, table.received_bytes);
+        log_known_version(
+            (*routes)->version(), table.source, table.received_bytes);
     else
-        put_in_force(*routes, std::move(table));
+        activate_table(*routes, std::move(table));
     table_fetches_.record_response(source, core::monotonic_now());
 }
 
 // Neighbours get the changes as they came here.
-void entry_process::remember(received_table table)
+void entry_process::add_to_history(received_table table)
 {
     const bool follows =
         table.changes && table.changes->base == tables_.digest();
@@ -67,7 +68,7 @@
         tables_.set_full(context_.routes->version(), std::move(table.text));
 }
 
-void entry_process::put_in_force(
+void entry_process::activate_table(
     const std::shared_ptr<const routing::route_table>& routes,
     received_table table)
 {
@@ -75,7 +76,7 @@
     const std::uint64_t before =
         context_.routes ? context_.routes->version() : 0;
     const auto& content = routes->content();
-    limit_callers(content.limits);
+    apply_caller_limits(content.limits);
     log_event(
         log_level::info,
         component,
@@ -91,20 +92,20 @@
     table_fetches_.set_own_version(version);
     neighbours_->broadcast(wire::catalogue_position{version, 0});
     context_.queue.wake_first();
-    remember(std::move(table));
+    add_to_history(std::move(table));
 }
 
 // The table itself may be large, and the source brings it to nearly every
 // host: sent to each neighbour at once it fills the links of small hosts for
 // seconds, and no further version gets through.
-void entry_process::hear_version(
+void entry_process::handle_table_version(
     const core::host_name& host, std::uint64_t version)
 {
-    has_heard_version_ = true;
+    has_received_version_ = true;
     table_fetches_.record_version(host, version, core::monotonic_now());
 }
 
-void entry_process::ask_for_table()
+void entry_process::request_table()
 {
     // What is being read may be what is lacking.
     if (loader_.is_busy())
@@ -129,23 +130,24 @@
     }
 }
 
-void entry_process::hear_pull(
+void entry_process::handle_table_request(
     const std::shared_ptr<wire::link>& from, const wire::pull& said)
 {
     table_requests_.add(from, said, core::monotonic_now());
-    serve_table_askers();
+    serve_table_requests();
 }
 
-void entry_process::serve_table_askers()
+void entry_process::serve_table_requests()
 {
     table_requests_.serve(
         core::monotonic_now(),
         [this](wire::link& asker, const wire::pull& said) {
-            tell_table(asker, said);
+            answer_table_request(asker, said);
         });
 }
 
-void entry_process::tell_table(wire::link& to, const wire::pull& asked)
+void entry_process::answer_table_request(
+    wire::link& to, const wire::pull& asked)
 {
     if (!context_.routes)
         return;
@@ -167,7 +169,7 @@
             {{"version", version}, {"cause", changes.error().to_string()}});
         return;
     }
-    const std::size_t bytes = bytes_of(*changes);
+    const std::size_t bytes = payload_bytes(*changes);
     send_table(to, std::move(*changes), bytes);
 }
 
@@ -175,7 +177,7 @@
 void entry_process::send_table(
     wire::link& to, wire::message table, std::size_t bytes)
 {
-    const bool fits = bytes <= most_table_bytes;
+    const bool fits = bytes <= max_table_bytes;
     log_event(
         fits ? log_level::info : log_level::error,
         component,
@@ -188,35 +190,35 @@
         to.send(table);
 }
 
-void entry_process::hear_table(
+void entry_process::handle_table(
     const core::host_name& host, const wire::table_document& said)
 {
     if (has_version(said.version))
-        pass_over(host, said.version, said.text.size());
+        discard_known_table(host, said.version, said.text.size());
     else
         load_table(said.text, host.value());
 }
 
-void entry_process::hear_changes(
+void entry_process::handle_table_changes(
     const core::host_name& host, const wire::table_changes& said)
 {
-    const std::size_t bytes = bytes_of(said);
+    const std::size_t bytes = payload_bytes(said);
     const std::uint64_t version =
         said.steps.empty() ? 0 : said.steps.back().version;
     if (has_version(version)) {
-        pass_over(host, version, bytes);
+        discard_known_table(host, version, bytes);
         return;
     }
     auto text = tables_.apply(said);
     if (text)
         loader_.add({std::move(*text), host.value(), bytes, said});
     else
-        refuse_changes(host, version, text.error());
+        reject_changes(host, version, text.error());
 }
 
 // What was made of false changes, or of changes to another text, is dropped;
 // the whole table needs no other one to be right.
-void entry_process::refuse_changes(
+void entry_process::reject_changes(
     const core::host_name& host, std::uint64_t version, const core::error& why)
 {
     if (why.kind() == core::error_kind::protocol)
@@ -237,14 +239,14 @@
 }
 
 // A table that is no news came over the link for nothing.
-void entry_process::pass_over(
+void entry_process::discard_known_table(
     const core::host_name& host, std::uint64_t version, std::size_t bytes)
 {
-    log_known(version, host.value(), bytes);
+    log_known_version(version, host.value(), bytes);
     table_fetches_.record_response(host, core::monotonic_now());
 }
 
-void entry_process::log_known(
+void entry_process::log_known_version(
     std::uint64_t version, std::string_view source, std::size_t bytes) const
 {
     log_event(
