--- a/services/entry/include/godwit/entry/neighbour_links.hpp
+++ b/services/entry/include/godwit/entry/neighbour_links.hpp
@@ -2,7 +2,7 @@
 
 #include <godwit/core/result.hpp>
 #include <godwit/entry/entry_settings.hpp>
-#include <godwit/entry/neighbour_choice.hpp>
+#include <godwit/entry/neighbour_selection.hpp>
 #include <godwit/wire/acceptor.hpp>
 #include <godwit/wire/connector.hpp>
 #include <godwit/wire/message.hpp>
--- a/services/entry/include/godwit/entry/table_intake.hpp
+++ b/services/entry/include/godwit/entry/table_loader.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <godwit/entry/table_reading.hpp>
+#include <godwit/entry/table_parser.hpp>
 #include <godwit/wire/table_changes.hpp>
 
 #include <boost/asio/any_io_executor.hpp>
--- a/services/entry/include/godwit/entry/wire_codec.hpp
+++ b/services/entry/include/godwit/entry/wire_codec.hpp
@@ -6,7 +6,7 @@
 #include <godwit/entry/request_metadata.hpp>
 #include <godwit/entry/response_metadata.hpp>
 #include <godwit/entry/server_report.hpp>
-#include <godwit/entry/table_reading.hpp>
+#include <godwit/entry/table_parser.hpp>
 #include <godwit/http/header_fields.hpp>
 #include <godwit/http/request.hpp>
 #include <godwit/http/response.hpp>
--- a/services/entry/src/cell_report.cpp
+++ b/services/entry/src/cell_load_reporter.cpp
@@ -1,6 +1,6 @@
-#include <godwit/entry/cell_report.hpp>
+#include <godwit/entry/cell_load_reporter.hpp>
 
-#include <godwit/entry/work_words.hpp>
+#include <godwit/entry/load_conversion.hpp>
 
 #include <utility>
 
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -1,6 +1,6 @@
 #include <godwit/entry/entry_process.hpp>
 
-#include <godwit/entry/server_names.hpp>
+#include <godwit/entry/server_id_list.hpp>
 
 #include <godwit/telemetry/log.hpp>
 #include <godwit/telemetry/log_connection_fault.hpp>
--- a/services/entry/src/entry_process_crashes.cpp
+++ b/services/entry/src/entry_process_crashes.cpp
@@ -2,7 +2,7 @@
 
 #include <godwit/core/hash.hpp>
 #include <godwit/entry/call_log.hpp>
-#include <godwit/entry/crash_words.hpp>
+#include <godwit/entry/crash_report_conversion.hpp>
 
 #include <godwit/telemetry/log.hpp>
 
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -1,7 +1,7 @@
 #include <godwit/entry/entry_process.hpp>
 
 #include <godwit/entry/call_log.hpp>
-#include <godwit/entry/server_limit_words.hpp>
+#include <godwit/entry/server_limit_exchange.hpp>
 
 #include <godwit/telemetry/log.hpp>
 
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -1,7 +1,7 @@
 #include <godwit/entry/entry_process.hpp>
 
+#include <godwit/entry/load_conversion.hpp>
 #include <godwit/entry/wire_age.hpp>
-#include <godwit/entry/work_words.hpp>
 
 #include <godwit/telemetry/log.hpp>
 
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -2,7 +2,7 @@
 
 #include <godwit/entry/call_log.hpp>
 #include <godwit/entry/call_messages.hpp>
-#include <godwit/entry/crash_words.hpp>
+#include <godwit/entry/crash_report_conversion.hpp>
 #include <godwit/entry/spawn.hpp>
 #include <godwit/http/client_stream.hpp>
 #include <godwit/http/fetch.hpp>
--- a/services/entry/src/neighbour_choice.cpp
+++ b/services/entry/src/neighbour_selection.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/neighbour_choice.hpp>
+#include <godwit/entry/neighbour_selection.hpp>
 
 #include <algorithm>
 #include <cstddef>
--- a/services/entry/src/server_names.cpp
+++ b/services/entry/src/server_id_list.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/server_names.hpp>
+#include <godwit/entry/server_id_list.hpp>
 
 #include <algorithm>
 #include <cstddef>
--- a/services/entry/src/server_limit_words.cpp
+++ b/services/entry/src/server_limit_exchange.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/server_limit_words.hpp>
+#include <godwit/entry/server_limit_exchange.hpp>
 
 #include <godwit/entry/call_log.hpp>
 #include <godwit/entry/wire_age.hpp>
--- a/services/entry/src/list_outage.cpp
+++ b/services/entry/src/server_list_outage.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/list_outage.hpp>
+#include <godwit/entry/server_list_outage.hpp>
 
 namespace godwit::entry {
 
--- a/services/entry/src/list_readers.cpp
+++ b/services/entry/src/server_list_readers.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/list_readers.hpp>
+#include <godwit/entry/server_list_readers.hpp>
 
 #include <algorithm>
 
--- a/services/entry/src/table_intake.cpp
+++ b/services/entry/src/table_loader.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/table_intake.hpp>
+#include <godwit/entry/table_loader.hpp>
 
 #include <godwit/entry/spawn.hpp>
 
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -1,6 +1,6 @@
 #include <godwit/entry/upstream.hpp>
 
-#include <godwit/entry/server_limit_words.hpp>
+#include <godwit/entry/server_limit_exchange.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/tests/entry/crash_words_test.cpp
+++ b/tests/entry/crash_report_conversion_test.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/crash_words.hpp>
+#include <godwit/entry/crash_report_conversion.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/entry/work_words_test.cpp
+++ b/tests/entry/load_conversion_test.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/work_words.hpp>
+#include <godwit/entry/load_conversion.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -1,8 +1,8 @@
-#include <godwit/entry/cell_report.hpp>
+#include <godwit/entry/cell_load_reporter.hpp>
 #include <godwit/entry/event_splitter.hpp>
 #include <godwit/entry/link_claims.hpp>
-#include <godwit/entry/list_outage.hpp>
-#include <godwit/entry/neighbour_choice.hpp>
+#include <godwit/entry/neighbour_selection.hpp>
+#include <godwit/entry/server_list_outage.hpp>
 #include <godwit/entry/stream_registry.hpp>
 #include <godwit/entry/wait_queue.hpp>
 
--- a/tests/entry/server_limit_words_test.cpp
+++ b/tests/entry/server_limit_exchange_test.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/server_limit_words.hpp>
+#include <godwit/entry/server_limit_exchange.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/entry/table_inquiry_test.cpp
+++ b/tests/entry/table_fetch_scheduler_test.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/table_inquiry.hpp>
+#include <godwit/entry/table_fetch_scheduler.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/entry/table_fleet_test.cpp
+++ b/tests/entry/table_fleet_test.cpp
@@ -2,8 +2,8 @@
 // with narrow links, by the decisions that entry hosts make. Only one host of
 // each cell reaches the source.
 
-#include <godwit/entry/table_askers.hpp>
-#include <godwit/entry/table_inquiry.hpp>
+#include <godwit/entry/table_fetch_scheduler.hpp>
+#include <godwit/entry/table_request_queue.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/entry/table_askers_test.cpp
+++ b/tests/entry/table_request_queue_test.cpp
@@ -1,4 +1,4 @@
-#include <godwit/entry/table_askers.hpp>
+#include <godwit/entry/table_request_queue.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -1,6 +1,6 @@
 #include "store_model.hpp"
 
-#include <godwit/entry/list_outage.hpp>
+#include <godwit/entry/server_list_outage.hpp>
 #include <godwit/placement/server_directory.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
