--- a/tests/platform_adapter/crashing_requests_test.cpp
+++ b/tests/platform_adapter/crashing_requests_test.cpp
@@ -1,7 +1,7 @@
 // Guards against a request that crashes servers being sent to one server after
 // another as long as its caller repeats it.
 
-#include "stand_in_neighbours.hpp"
+#include "fake_neighbours.hpp"
 #include "stream_pieces.hpp"
 #include "world.hpp"
 
--- a/tests/platform_adapter/stand_in_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_neighbours.hpp"
+#include "fake_neighbours.hpp"
 
 #include "world.hpp"
 
--- a/tests/platform_adapter/stand_in_server.cpp
+++ b/tests/platform_adapter/fake_server.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_server.hpp"
+#include "fake_server.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/tests/platform_adapter/stand_in_store.cpp
+++ b/tests/platform_adapter/fake_store.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_store.hpp"
+#include "fake_store.hpp"
 
 #include <godwit/core/time.hpp>
 #include <godwit/platform_adapter/store_codec.hpp>
--- a/tests/platform_adapter/server_limits_test.cpp
+++ b/tests/platform_adapter/server_limits_test.cpp
@@ -1,7 +1,7 @@
 // Guards against sending a backend server more requests than the limit in its
 // answers.
 
-#include "stand_in_neighbours.hpp"
+#include "fake_neighbours.hpp"
 #include "stream_pieces.hpp"
 #include "world.hpp"
 
--- a/tests/platform_adapter/store_model.hpp
+++ b/tests/platform_adapter/store_model.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <godwit/platform_adapter/store_eras.hpp>
+#include <godwit/platform_adapter/store_epoch_tracker.hpp>
 #include <godwit/platform_adapter/topic_cursor.hpp>
 
 #include <algorithm>
--- a/tests/platform_adapter/table_changes_test.cpp
+++ b/tests/platform_adapter/table_changes_test.cpp
@@ -1,7 +1,7 @@
 // A change of a few words costs a few hundred bytes between hosts, however
 // large the table is, and what is made of changes is the operator's text.
 
-#include "stand_in_neighbours.hpp"
+#include "fake_neighbours.hpp"
 #include "world.hpp"
 
 #include <godwit/delta/content_digest.hpp>
--- a/tests/platform_adapter/table_questions_test.cpp
+++ b/tests/platform_adapter/table_questions_test.cpp
@@ -7,7 +7,7 @@
 // a burst 83 hosts logged table_asked 7,169 times, table_sent 7,062 times and
 // table_known 5,783 times: four of five tables were no news when they came.
 
-#include "stand_in_neighbours.hpp"
+#include "fake_neighbours.hpp"
 #include "world.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/platform_adapter/topic_follower_test.cpp
+++ b/tests/platform_adapter/topic_follower_test.cpp
@@ -2,7 +2,7 @@
 // the answer's reader or of whoever takes a record, to end the following of a
 // topic, the host would serve on with the servers and routes of that moment.
 
-#include "stand_in_store.hpp"
+#include "fake_store.hpp"
 
 #include <godwit/platform_adapter/topic_follower.hpp>
 
--- a/tests/platform_adapter/world.hpp
+++ b/tests/platform_adapter/world.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "stand_in_server.hpp"
-#include "stand_in_store.hpp"
+#include "fake_server.hpp"
+#include "fake_store.hpp"
 
 #include <godwit/entry/entry_process.hpp>
 #include <godwit/platform_adapter/platform_sources.hpp>
