--- a/tests/platform_adapter/fake_store.cpp
+++ b/tests/platform_adapter/fake_store.cpp
@@ -136,10 +136,10 @@
         log.first = log.records.size();
 }
 
-void stand_in_store::set_era(std::optional<std::string> era)
+void stand_in_store::set_epoch(std::optional<std::string> epoch)
 {
     const std::lock_guard lock(mutex_);
-    era_ = std::move(era);
+    epoch_ = std::move(epoch);
 }
 
 void stand_in_store::take_copy()
@@ -153,8 +153,8 @@
     const std::lock_guard lock(mutex_);
     topics_ = copy_;
     ++restores_;
-    if (era_)
-        era_ = std::to_string(1 + restores_);
+    if (epoch_)
+        epoch_ = std::to_string(1 + restores_);
     for (const written_again& one : records)
         topics_[one.topic].records.push_back({one.key, one.value});
 }
@@ -164,8 +164,8 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        if (era_)
-            answer.fields.set("Store-Era", *era_);
+        if (epoch_)
+            answer.fields.set("Store-Era", *epoch_);
     }
     [[maybe_unused]] const auto sent =
         co_await asked.respond(std::move(answer));
--- a/tests/platform_adapter/fake_store.hpp
+++ b/tests/platform_adapter/fake_store.hpp
@@ -53,7 +53,7 @@
     };
 
     /// Names an era in every answer from now on.
-    void set_era(std::optional<std::string> era);
+    void set_epoch(std::optional<std::string> epoch);
 
     /// Keeps a copy of all records, for `restore`.
     void take_copy();
@@ -105,7 +105,7 @@
     std::mutex mutex_;
     std::map<std::string, topic_log> topics_;
     std::map<std::string, topic_log> copy_;
-    std::optional<std::string> era_ = "1";
+    std::optional<std::string> epoch_ = "1";
     unsigned restores_ = 0;
     std::atomic<std::size_t> page_size_ = 500;
     std::atomic<unsigned> status_ = 0;
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -74,8 +74,9 @@
         made.add(store_.copied < store_.log.size(), [](auto& next) {
             next.store_.copied = next.store_.log.size();
         });
-        made.add(
-            store_.era < last_era, [](auto& next) { next.store_.restore(); });
+        made.add(store_.epoch < last_epoch, [](auto& next) {
+            next.store_.restore();
+        });
         for (std::size_t host = 0; host < hosts; ++host) {
             made.add(!hosts_[host].reader.answer, [host](auto& next) {
                 next.ask(host);
@@ -127,7 +128,7 @@
     }
 
 private:
-    static constexpr unsigned last_era = 3;
+    static constexpr unsigned last_epoch = 3;
     static constexpr unsigned most_beats = 2;
     static constexpr int round_ms = 100;
 
--- a/tests/platform_adapter/restored_store_test.cpp
+++ b/tests/platform_adapter/restored_store_test.cpp
@@ -61,7 +61,7 @@
     // One topic's shorter log shows it; the other's has the length it had.
     void test_a_shorter_log_is_noticed_without_an_era()
     {
-        world_.store().set_era(std::nullopt);
+        world_.store().set_epoch(std::nullopt);
         begin_registered();
         world_.store().take_copy();
         world_.publish(2);
--- a/tests/platform_adapter/store_epoch_tracker_test.cpp
+++ b/tests/platform_adapter/store_epoch_tracker_test.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-using godwit::platform_adapter::era_sign;
-using godwit::platform_adapter::store_eras;
+using godwit::platform_adapter::epoch_status;
+using godwit::platform_adapter::store_epoch_tracker;
 
-class store_eras_test : public CppUnit::TestFixture
+class store_epoch_tracker_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(store_eras_test);
+    CPPUNIT_TEST_SUITE(store_epoch_tracker_test);
     CPPUNIT_TEST(test_a_rise_by_one_is_a_restore);
     CPPUNIT_TEST(test_an_earlier_era_says_nothing);
     CPPUNIT_TEST(test_a_larger_rise_has_to_be_named_twice);
@@ -22,62 +22,65 @@
 
     void test_a_rise_by_one_is_a_restore()
     {
-        store_eras eras;
-        CPPUNIT_ASSERT(eras.note("0") == era_sign::current);
-        CPPUNIT_ASSERT(eras.note("0") == era_sign::current);
-        CPPUNIT_ASSERT(eras.note("1") == era_sign::restored);
-        CPPUNIT_ASSERT(eras.note("1") == era_sign::current);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, eras.current());
+        store_epoch_tracker epochs;
+        CPPUNIT_ASSERT(epochs.observe("0") == epoch_status::current);
+        CPPUNIT_ASSERT(epochs.observe("0") == epoch_status::current);
+        CPPUNIT_ASSERT(epochs.observe("1") == epoch_status::restored);
+        CPPUNIT_ASSERT(epochs.observe("1") == epoch_status::current);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, epochs.current());
     }
 
     void test_an_earlier_era_says_nothing()
     {
-        store_eras eras;
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::current);
-        CPPUNIT_ASSERT(eras.note("5") == era_sign::restored);
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::outdated);
-        CPPUNIT_ASSERT(eras.note("5") == era_sign::current);
+        store_epoch_tracker epochs;
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
+        CPPUNIT_ASSERT(epochs.observe("5") == epoch_status::restored);
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::outdated);
+        CPPUNIT_ASSERT(epochs.observe("5") == epoch_status::current);
     }
 
     void test_a_larger_rise_has_to_be_named_twice()
     {
-        store_eras eras;
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::current);
-        CPPUNIT_ASSERT(eras.note("18446744073709551615") == era_sign::doubtful);
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::current);
-        CPPUNIT_ASSERT(eras.note("7") == era_sign::doubtful);
-        CPPUNIT_ASSERT(eras.note("7") == era_sign::restored);
+        store_epoch_tracker epochs;
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
+        CPPUNIT_ASSERT(
+            epochs.observe("18446744073709551615") ==
+            epoch_status::unconfirmed);
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
+        CPPUNIT_ASSERT(epochs.observe("7") == epoch_status::unconfirmed);
+        CPPUNIT_ASSERT(epochs.observe("7") == epoch_status::restored);
     }
 
     void test_a_false_era_does_not_last()
     {
-        store_eras eras;
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::current);
-        CPPUNIT_ASSERT(eras.note("5") == era_sign::restored);
-        for (unsigned count = 1; count < store_eras::outdated_limit; ++count)
-            CPPUNIT_ASSERT(eras.note("4") == era_sign::outdated);
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::restored);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, eras.current());
+        store_epoch_tracker epochs;
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
+        CPPUNIT_ASSERT(epochs.observe("5") == epoch_status::restored);
+        for (unsigned count = 1; count < store_epoch_tracker::outdated_limit;
+             ++count)
+            CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::outdated);
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::restored);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, epochs.current());
     }
 
     void test_what_is_no_era_changes_nothing()
     {
-        store_eras eras;
-        CPPUNIT_ASSERT(eras.note("4") == era_sign::current);
+        store_epoch_tracker epochs;
+        CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
         for (const char* text : {"", " 5", "5x", "-1", "18446744073709551616"})
-            CPPUNIT_ASSERT(eras.note(text) == era_sign::refused);
-        CPPUNIT_ASSERT(eras.note(std::nullopt) == era_sign::refused);
-        CPPUNIT_ASSERT(eras.note("5") == era_sign::restored);
+            CPPUNIT_ASSERT(epochs.observe(text) == epoch_status::invalid);
+        CPPUNIT_ASSERT(epochs.observe(std::nullopt) == epoch_status::invalid);
+        CPPUNIT_ASSERT(epochs.observe("5") == epoch_status::restored);
     }
 
     void test_a_store_without_eras_is_believed()
     {
-        store_eras eras;
-        CPPUNIT_ASSERT(eras.note(std::nullopt) == era_sign::current);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, eras.current());
+        store_epoch_tracker epochs;
+        CPPUNIT_ASSERT(epochs.observe(std::nullopt) == epoch_status::current);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, epochs.current());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(store_eras_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(store_epoch_tracker_test);
 
 } // namespace
--- a/tests/platform_adapter/store_model.hpp
+++ b/tests/platform_adapter/store_model.hpp
@@ -24,7 +24,7 @@
 template<class Record>
 struct store_model
 {
-    unsigned era = 1;
+    unsigned epoch = 1;
     std::vector<Record> log;
     std::size_t copied = 0;
 
@@ -32,12 +32,12 @@
     void restore()
     {
         log.resize(std::min(copied, log.size()));
-        ++era;
+        ++epoch;
     }
 
     [[nodiscard]] std::string key() const
     {
-        std::string text = std::to_string(era) + '/' + std::to_string(copied);
+        std::string text = std::to_string(epoch) + '/' + std::to_string(copied);
         for (const Record& one : log)
             text += ',' + one.key();
         return text;
@@ -48,7 +48,7 @@
 template<class Record>
 struct answer_model
 {
-    unsigned era = 0;
+    unsigned epoch = 0;
     bool is_whole = false;
     bool is_gone = false; ///< 410.
     std::uint64_t end = 0;
@@ -56,7 +56,7 @@
 
     [[nodiscard]] std::string key() const
     {
-        std::string text = std::to_string(era) + (is_whole ? "w" : "r") +
+        std::string text = std::to_string(epoch) + (is_whole ? "w" : "r") +
                            (is_gone ? "g" : "") + std::to_string(end);
         for (const Record& one : records)
             text += ',' + one.key();
@@ -68,7 +68,7 @@
 template<class Record>
 struct reader_model
 {
-    store_eras eras;
+    store_epoch_tracker epochs;
     topic_cursor cursor;
     bool is_caught_up = false;
     std::optional<answer_model<Record>> answer;
@@ -76,7 +76,7 @@
     void ask(const store_model<Record>& store)
     {
         answer_model<Record> made;
-        made.era = store.era;
+        made.epoch = store.epoch;
         made.end = store.log.size();
         made.is_whole = !is_caught_up;
         std::size_t from = 0;
@@ -97,20 +97,20 @@
     {
         const answer_model<Record> came = std::move(*answer);
         answer.reset();
-        const era_sign sign = eras.note(std::to_string(came.era));
+        const epoch_status sign = epochs.observe(std::to_string(came.epoch));
         const bool is_usable =
-            sign == era_sign::current || sign == era_sign::restored;
+            sign == epoch_status::current || sign == epoch_status::restored;
         std::optional<std::uint64_t> end;
         if (is_usable && !came.is_gone)
             end = came.end;
-        if (cursor.is_outdated(eras.current(), end)) {
+        if (cursor.is_outdated(epochs.current(), end)) {
             cursor.reset();
             is_caught_up = false;
             on_restored();
         } else if (!is_usable || came.is_gone) {
             is_caught_up = false;
         } else {
-            cursor.advance({eras.current(), came.end});
+            cursor.advance({epochs.current(), came.end});
             is_caught_up = true;
             take(came);
         }
@@ -118,9 +118,9 @@
 
     [[nodiscard]] std::string key() const
     {
-        std::string text = std::to_string(eras.current());
+        std::string text = std::to_string(epochs.current());
         if (cursor.next())
-            text += ':' + std::to_string(cursor.next()->era) + ':' +
+            text += ':' + std::to_string(cursor.next()->epoch) + ':' +
                     std::to_string(cursor.next()->offset);
         text += is_caught_up ? "c" : "-";
         return answer ? text + '(' + answer->key() + ')' : text;
