--- a/tests/platform_adapter/topic_follower_test.cpp
+++ b/tests/platform_adapter/topic_follower_test.cpp
@@ -94,11 +94,11 @@
         bool others_read = true;
         unsigned reads = 0;
         std::set<std::string> seen;
-        topic_pace pace;
-        pace.may_rest = [&others_read] {
+        topic_poll_policy policy;
+        policy.is_relayed = [&others_read] {
             return others_read;
         };
-        pace.longest_rest = std::chrono::seconds(60);
+        policy.relayed_poll_interval = std::chrono::seconds(60);
         topic_handlers handlers;
         handlers.on_whole = [&seen](const std::vector<keyed_record>& records) {
             for (const keyed_record& record : records)
@@ -110,7 +110,8 @@
         handlers.on_read = [&reads] {
             ++reads;
         };
-        topic_follower follower(io.get_executor(), client, "t", pace, handlers);
+        topic_follower follower(
+            io.get_executor(), client, "t", policy, handlers);
         follower.start();
         run_for(io, 500);
         // What was there at the start is its own to read.
@@ -135,18 +136,19 @@
         store_client client(io.get_executor(), store.address());
         bool others_read = true;
         unsigned reads = 0;
-        topic_pace pace;
-        pace.may_rest = [&others_read] {
+        topic_poll_policy policy;
+        policy.is_relayed = [&others_read] {
             return others_read;
         };
-        pace.longest_rest = std::chrono::seconds(60);
+        policy.relayed_poll_interval = std::chrono::seconds(60);
         topic_handlers handlers;
         handlers.on_whole = [](const std::vector<keyed_record>&) {
         };
         handlers.on_read = [&reads] {
             ++reads;
         };
-        topic_follower follower(io.get_executor(), client, "t", pace, handlers);
+        topic_follower follower(
+            io.get_executor(), client, "t", policy, handlers);
         follower.start();
         run_for(io, 200);
         CPPUNIT_ASSERT_EQUAL(1U, reads);
@@ -167,8 +169,8 @@
         test::stand_in_store store(io);
         store.answer_with(503);
         store_client client(io.get_executor(), store.address());
-        topic_pace pace;
-        pace.longest_retry_pause = [] {
+        topic_poll_policy policy;
+        policy.max_retry_delay = [] {
             return std::chrono::seconds(3);
         };
         unsigned reads = 0;
@@ -178,7 +180,8 @@
         handlers.on_read = [&reads] {
             ++reads;
         };
-        topic_follower follower(io.get_executor(), client, "t", pace, handlers);
+        topic_follower follower(
+            io.get_executor(), client, "t", policy, handlers);
         follower.start();
         // Pauses of 0.2, 0.4, 0.8 and 1.6 s, then of 3 s.
         run_for(io, 4000);
