--- a/tests/platform_adapter/topic_follower_test.cpp
+++ b/tests/platform_adapter/topic_follower_test.cpp
@@ -100,10 +100,11 @@
         };
         policy.relayed_poll_interval = std::chrono::seconds(60);
         topic_handlers handlers;
-        handlers.on_whole = [&seen](const std::vector<keyed_record>& records) {
-            for (const keyed_record& record : records)
-                seen.insert(record.key);
-        };
+        handlers.on_snapshot =
+            [&seen](const std::vector<keyed_record>& records) {
+                for (const keyed_record& record : records)
+                    seen.insert(record.key);
+            };
         handlers.on_record = [&seen](const keyed_record& record) {
             seen.insert(record.key);
         };
@@ -142,7 +143,7 @@
         };
         policy.relayed_poll_interval = std::chrono::seconds(60);
         topic_handlers handlers;
-        handlers.on_whole = [](const std::vector<keyed_record>&) {
+        handlers.on_snapshot = [](const std::vector<keyed_record>&) {
         };
         handlers.on_read = [&reads] {
             ++reads;
@@ -152,10 +153,10 @@
         follower.start();
         run_for(io, 200);
         CPPUNIT_ASSERT_EQUAL(1U, reads);
-        follower.read_anew_after_rest();
+        follower.resync_unless_relayed();
         run_for(io, 200);
         CPPUNIT_ASSERT_EQUAL(1U, reads);
-        follower.read_anew();
+        follower.resync();
         run_for(io, 200);
         CPPUNIT_ASSERT_EQUAL(2U, reads);
         others_read = false;
@@ -175,7 +176,7 @@
         };
         unsigned reads = 0;
         topic_handlers handlers;
-        handlers.on_whole = [](const std::vector<keyed_record>&) {
+        handlers.on_snapshot = [](const std::vector<keyed_record>&) {
         };
         handlers.on_read = [&reads] {
             ++reads;
