--- a/tests/platform_adapter/store_call_counts_test.cpp
+++ b/tests/platform_adapter/store_call_counts_test.cpp
@@ -27,30 +27,30 @@
     {
         store_call_counts counts;
         CPPUNIT_ASSERT(!counts.take_due(at_s(100)));
-        counts.called("b");
-        counts.called("a");
-        counts.called("b");
-        counts.answered("b", 100);
-        counts.answered("b", 20);
-        counts.failed();
+        counts.record_call("b");
+        counts.record_call("a");
+        counts.record_call("b");
+        counts.record_response("b", 100);
+        counts.record_response("b", 20);
+        counts.record_failure();
         CPPUNIT_ASSERT(!counts.take_due(at_s(109)));
         const std::optional<std::string> line = counts.take_due(at_s(110));
         CPPUNIT_ASSERT(line == "a:1:0,b:2:120");
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, counts.failed_told());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, counts.logged_failures());
         // What was told begins anew.
-        counts.called("a");
+        counts.record_call("a");
         CPPUNIT_ASSERT(!counts.take_due(at_s(119)));
         CPPUNIT_ASSERT(counts.take_due(at_s(120)) == "a:1:0");
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, counts.failed_told());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, counts.logged_failures());
     }
 
     void test_positions_name_era_offset_and_end()
     {
         store_call_counts counts;
         CPPUNIT_ASSERT_EQUAL(std::string(), counts.positions());
-        counts.read("b", {2, 7}, 9);
-        counts.read("a", {2, 3}, 3);
-        counts.read("b", {3, 8}, 9);
+        counts.record_position("b", {2, 7}, 9);
+        counts.record_position("a", {2, 3}, 3);
+        counts.record_position("b", {3, 8}, 9);
         CPPUNIT_ASSERT_EQUAL(
             std::string("a:2:3:3,b:3:8:9"), counts.positions());
     }
