--- a/tests/platform_adapter/crashing_requests_test.cpp
+++ b/tests/platform_adapter/crashing_requests_test.cpp
@@ -26,17 +26,18 @@
 constexpr const char* crashing_body = "crash";
 
 // Crashes the server after the response head for `crashing_body`.
-stand_in_server::behaviour crash_or_answer(stand_in_server& server)
+fake_server::request_handler crash_or_answer(fake_server& server)
 {
     return [&server](http::exchange& asked) -> asio::awaitable<void> {
         if (asked.received().body == crashing_body) {
             [[maybe_unused]] const auto begun = co_await asked.start_stream(
-                200, stand_in_server::signed_fields(asked));
+                200, fake_server::signed_fields(asked));
             server.crash();
             asked.cut();
             co_return;
         }
-        http::response whole = stand_in_server::answer(asked, 200, event(1));
+        http::response whole =
+            fake_server::signed_response(asked, 200, event(1));
         [[maybe_unused]] const auto sent =
             co_await asked.respond(std::move(whole));
     };
@@ -68,8 +69,8 @@
 
     void begin()
     {
-        world_.first().behave(crash_or_answer(world_.first()));
-        world_.second().behave(crash_or_answer(world_.second()));
+        world_.first().set_handler(crash_or_answer(world_.first()));
+        world_.second().set_handler(crash_or_answer(world_.second()));
         world_.begin();
         restart_servers();
     }
@@ -109,7 +110,7 @@
     std::size_t crash_count()
     {
         std::size_t count = 0;
-        for (stand_in_server* server : {&world_.first(), &world_.second()}) {
+        for (fake_server* server : {&world_.first(), &world_.second()}) {
             const auto received = server->received();
             count += static_cast<std::size_t>(std::count_if(
                 received.begin(), received.end(), [](const http::request& one) {
@@ -183,7 +184,7 @@
     {
         begin();
         std::atomic<bool> is_crashing = false;
-        const auto behaviour = [&is_crashing](stand_in_server& server) {
+        const auto request_handler = [&is_crashing](fake_server& server) {
             return [&is_crashing,
                     &server](http::exchange& asked) -> asio::awaitable<void> {
                 if (is_crashing && asked.received().body == "probe") {
@@ -192,13 +193,13 @@
                     co_return;
                 }
                 http::response whole =
-                    stand_in_server::answer(asked, 200, "hello");
+                    fake_server::signed_response(asked, 200, "hello");
                 [[maybe_unused]] const auto sent =
                     co_await asked.respond(std::move(whole));
             };
         };
-        world_.first().behave(behaviour(world_.first()));
-        world_.second().behave(behaviour(world_.second()));
+        world_.first().set_handler(request_handler(world_.first()));
+        world_.second().set_handler(request_handler(world_.second()));
         for (int round = 0; round < 6; ++round) {
             is_crashing = true;
             const auto lost = world_.call_unless_cut("/plain/", "probe");
@@ -214,22 +215,24 @@
     // A broken connection alone is not a crash.
     void test_runs_lost_at_a_server_that_still_answers_do_not_count()
     {
-        const auto behaviour = [](const std::string& report) {
+        const auto request_handler = [](const std::string& report) {
             return [report](http::exchange& asked) -> asio::awaitable<void> {
                 if (asked.received().body == crashing_body) {
                     asked.cut();
                     co_return;
                 }
                 http::response whole =
-                    stand_in_server::answer(asked, 200, report);
+                    fake_server::signed_response(asked, 200, report);
                 [[maybe_unused]] const auto sent =
                     co_await asked.respond(std::move(whole));
             };
         };
         // The servers are listed without a start, so a report that contains one
         // must not count as a restart.
-        world_.first().behave(behaviour(R"({"state":"ready","born":5})"));
-        world_.second().behave(behaviour(R"({"state":"ready","born":5})"));
+        world_.first().set_handler(
+            request_handler(R"({"state":"ready","born":5})"));
+        world_.second().set_handler(
+            request_handler(R"({"state":"ready","born":5})"));
         world_.begin();
         [[maybe_unused]] const auto lost =
             world_.call_unless_cut("/plain/", crashing_body);
@@ -237,8 +240,8 @@
         CPPUNIT_ASSERT(world_.look<bool>([](entry::entry_process& process) {
             return process.context().quarantine.empty();
         }));
-        world_.first().behave(behaviour(R"({"state":"ready"})"));
-        world_.second().behave(behaviour(R"({"state":"ready"})"));
+        world_.first().set_handler(request_handler(R"({"state":"ready"})"));
+        world_.second().set_handler(request_handler(R"({"state":"ready"})"));
         repeat_crashing_request("/plain/");
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, crash_count());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
@@ -250,11 +253,11 @@
     {
         constexpr int restarts = 4;
         for (int restart = 0; restart < restarts; ++restart) {
-            world_.first().behave(
+            world_.first().set_handler(
                 [this](http::exchange& asked) -> asio::awaitable<void> {
                     [[maybe_unused]] const auto begun =
                         co_await asked.start_stream(
-                            200, stand_in_server::signed_fields(asked));
+                            200, fake_server::signed_fields(asked));
                     [[maybe_unused]] const auto first =
                         co_await asked.write_chunk(event(1));
                     co_await sleep(asked, 300);
@@ -280,8 +283,8 @@
     void test_crashes_reported_by_neighbours_count()
     {
         begin();
-        stand_in_neighbours others(2, world_.neighbours(), &no_table);
-        others.announce(1);
+        fake_neighbours others(2, world_.neighbours(), &no_table);
+        others.announce_table_version(1);
         [[maybe_unused]] const auto cut =
             world_.call_unless_cut("/stream/", crashing_body);
         world::wait("the report", [&others] {
@@ -290,7 +293,7 @@
         wire::crash_reports message = others.crash_reports().front();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, message.reports.size());
         message.reports.front().crashes = {{"i-8", 1, 0}, {"i-9", 1, 0}};
-        others.say(message);
+        others.broadcast(message);
         world::wait(
             "the quarantine", [this] { return quarantined_count() == 1; });
         [[maybe_unused]] const auto refused =
@@ -299,7 +302,7 @@
 
         message.completed = {message.reports.front().request};
         message.reports.clear();
-        others.say(message);
+        others.broadcast(message);
         world::wait("the end of the quarantine", [this] {
             return quarantined_count() == 0;
         });
@@ -309,7 +312,7 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        stand_in_neighbours others(1, world_.neighbours(), &no_table);
+        fake_neighbours others(1, world_.neighbours(), &no_table);
         world::wait("the report", [&others] {
             return !others.crash_reports().empty();
         });
@@ -332,8 +335,8 @@
         });
         const auto record = quarantine_record();
         world restarted;
-        restarted.first().behave(crash_or_answer(restarted.first()));
-        restarted.second().behave(crash_or_answer(restarted.second()));
+        restarted.first().set_handler(crash_or_answer(restarted.first()));
+        restarted.second().set_handler(crash_or_answer(restarted.second()));
         restarted.store().put("keyed.hosts", record->first, record->second);
         restarted.begin();
         world::wait("the quarantine", [&restarted] {
@@ -370,7 +373,7 @@
     void test_a_quarantine_that_the_store_lost_is_written_again()
     {
         begin();
-        world_.store().take_copy();
+        world_.store().back_up();
         repeat_crashing_request("/stream/");
         world::wait(
             "the record", [this] { return quarantine_record().has_value(); });
@@ -388,7 +391,7 @@
         world::wait(
             "the record", [this] { return quarantine_record().has_value(); });
         const std::string key = quarantine_record()->first;
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.store().put("keyed.hosts", key, std::nullopt);
         world::wait("its end", [this] { return quarantined_count() == 0; });
         world_.store().restore();
@@ -423,7 +426,7 @@
 
     void test_a_neighbour_hears_of_a_completed_run_that_it_missed()
     {
-        stand_in_neighbours others(1, world_.neighbours(), &no_table);
+        fake_neighbours others(1, world_.neighbours(), &no_table);
         const auto [key, value] = quarantine_and_end();
         const auto told = others.crash_reports();
         const auto crashes =
@@ -431,7 +434,7 @@
                 return !each.reports.empty();
             });
         CPPUNIT_ASSERT(crashes != told.end());
-        others.say(*crashes);
+        others.broadcast(*crashes);
         world::wait("the correction", [&others, &told] {
             const auto now_told = others.crash_reports();
             return std::any_of(
@@ -445,8 +448,8 @@
     void test_a_malformed_report_changes_nothing()
     {
         begin();
-        stand_in_neighbours others(1, world_.neighbours(), &no_table);
-        others.say(wire::crash_reports{
+        fake_neighbours others(1, world_.neighbours(), &no_table);
+        others.broadcast(wire::crash_reports{
             {{"no fingerprint",
               core::organisation_name("north"),
               {{"i-1", 1, 0}, {"i-2", 1, 0}, {"i-3", 1, 0}}}},
--- a/tests/platform_adapter/entries_world_test.cpp
+++ b/tests/platform_adapter/entries_world_test.cpp
@@ -22,7 +22,7 @@
 answer_with(http::exchange& asked, unsigned status, std::string body)
 {
     http::response whole =
-        stand_in_server::answer(asked, status, std::move(body));
+        fake_server::signed_response(asked, status, std::move(body));
     [[maybe_unused]] const auto sent = co_await asked.respond(std::move(whole));
 }
 
@@ -48,7 +48,7 @@
 
     world world_;
 
-    bool is_usable(const stand_in_server& server)
+    bool is_usable(const fake_server& server)
     {
         const placement::server_id id(server.id());
         return world_.look<bool>([&id](entry::entry_process& process) {
@@ -56,7 +56,7 @@
         });
     }
 
-    std::uint64_t life_of(const stand_in_server& server)
+    std::uint64_t life_of(const fake_server& server)
     {
         const placement::server_id id(server.id());
         return world_.look<std::uint64_t>([&id](entry::entry_process& process) {
@@ -70,7 +70,7 @@
         world_.store().put(servers_topic, key, text);
     }
 
-    void wait_for_life(const stand_in_server& server, std::uint64_t life)
+    void wait_for_life(const fake_server& server, std::uint64_t life)
     {
         world::wait("the life " + std::to_string(life), [&] {
             return life_of(server) == life;
@@ -81,21 +81,21 @@
     void read_lists_anew()
     {
         const unsigned before = world_.store().calls();
-        world_.store().answer_with(503);
+        world_.store().set_status(503);
         world::wait("some refused calls", [this, before] {
             return world_.store().calls() > before + 4;
         });
-        world_.store().answer_with(0);
+        world_.store().set_status(0);
     }
 
     void test_a_refused_entry_takes_only_its_server_away()
     {
         world_.begin();
-        const std::string whole = world_.first().entry("ready", 90);
+        const std::string whole = world_.first().record("ready", 90);
         for (const std::string& text :
              {std::string("{"),
               std::string("\xff\0", 2),
-              world_.first().entry("unheard", 90),
+              world_.first().record("unheard", 90),
               whole.substr(0, whole.size() / 2)}) {
             put_entry(world_.first().id(), text);
             world::wait(
@@ -110,9 +110,9 @@
     // not say it at all, every entry lacks it.
     void test_where_servers_say_their_start_others_are_no_servers()
     {
-        const std::string without = world_.first().entry("ready", 90);
-        world_.first().begin_life(former_life);
-        world_.second().begin_life(former_life);
+        const std::string without = world_.first().record("ready", 90);
+        world_.first().restart(former_life);
+        world_.second().restart(former_life);
         world_.begin();
         put_entry("i-other", without);
         put_entry(world_.first().id(), without);
@@ -181,7 +181,7 @@
     void test_an_entry_of_an_unknown_service_is_harmless()
     {
         world_.begin();
-        std::string text = world_.first().entry("ready", 90);
+        std::string text = world_.first().record("ready", 90);
         text.replace(text.find("\"lm\""), 4, "\"no\"");
         put_entry("i-9", text);
         const placement::server_id id("i-9");
@@ -225,12 +225,12 @@
 
     void test_a_server_begins_anew_under_its_id()
     {
-        world_.first().begin_life(former_life);
+        world_.first().restart(former_life);
         world_.begin();
         world_.list(world_.first(), "ready");
-        const std::string late_word = world_.first().entry("draining", 900);
-        world_.first().begin_life(new_life);
-        put_entry(world_.first().id(), world_.first().entry("ready", 0));
+        const std::string late_word = world_.first().record("draining", 900);
+        world_.first().restart(new_life);
+        put_entry(world_.first().id(), world_.first().record("ready", 0));
         wait_for_life(world_.first(), new_life);
         CPPUNIT_ASSERT(is_usable(world_.first()));
         put_entry(world_.first().id(), late_word);
@@ -242,11 +242,11 @@
 
     void test_a_server_that_left_begins_anew()
     {
-        world_.first().begin_life(former_life);
+        world_.first().restart(former_life);
         world_.begin();
         world_.list(world_.first(), "draining");
-        world_.first().begin_life(new_life);
-        put_entry(world_.first().id(), world_.first().entry("ready", 0));
+        world_.first().restart(new_life);
+        put_entry(world_.first().id(), world_.first().record("ready", 0));
         wait_for_life(world_.first(), new_life);
         CPPUNIT_ASSERT(is_usable(world_.first()));
     }
@@ -254,14 +254,14 @@
     void test_a_report_of_a_former_life_is_passed_over()
     {
         std::atomic<std::uint64_t> life = former_life;
-        world_.first().behave([&life](http::exchange& asked) {
+        world_.first().set_handler([&life](http::exchange& asked) {
             return answer_with(
                 asked,
                 200,
                 R"({"state":"draining","sequence":900,"born":)" +
                     std::to_string(life) + "}");
         });
-        world_.first().begin_life(new_life);
+        world_.first().restart(new_life);
         world_.begin();
         world::wait("reports", [this] {
             return world_.first().count("/api/report") > 1;
@@ -278,7 +278,7 @@
         std::atomic<bool> is_over = false;
         std::atomic<int> events = 0;
         std::atomic<int> copies = 0;
-        world_.first().behave(
+        world_.first().set_handler(
             [&](http::exchange& asked) -> asio::awaitable<void> {
                 if (asked.received().target != "/stream/") {
                     const bool is_copy =
@@ -288,7 +288,7 @@
                     co_return;
                 }
                 const http::response head =
-                    stand_in_server::answer(asked, 200, "");
+                    fake_server::signed_response(asked, 200, "");
                 auto said = co_await asked.start_stream(200, head.fields);
                 while (said && !is_over) {
                     ++events;
@@ -297,7 +297,7 @@
                 }
                 said = co_await asked.finish_stream();
             });
-        world_.first().begin_life(former_life);
+        world_.first().restart(former_life);
         world_.publish(1);
         world_.list(world_.first(), "ready");
         world::wait("readiness", [this] { return world_.is_ready(); });
@@ -306,8 +306,8 @@
             [this, &answer] { answer = world_.stream_unless_cut(); });
         world::wait("events", [&events] { return events > 3; });
         world_.list(world_.second(), "ready");
-        world_.first().begin_life(new_life);
-        put_entry(world_.first().id(), world_.first().entry("ready", 0));
+        world_.first().restart(new_life);
+        put_entry(world_.first().id(), world_.first().record("ready", 0));
         wait_for_life(world_.first(), new_life);
         world_.list(world_.first(), "draining");
         const int before = events;
--- a/tests/platform_adapter/fake_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -14,9 +14,9 @@
 
 namespace asio = boost::asio;
 
-stand_in_neighbours::stand_in_neighbours(
-    std::size_t count, const http::endpoint& host, answer_to_pull answer)
-    : work_(asio::make_work_guard(io_)), answer_(std::move(answer))
+fake_neighbours::fake_neighbours(
+    std::size_t count, const http::endpoint& host, pull_handler answer)
+    : work_(asio::make_work_guard(io_)), pull_handler_(std::move(answer))
 {
     const asio::ip::tcp::endpoint address(
         asio::ip::make_address(host.address()), host.port());
@@ -25,7 +25,7 @@
     thread_ = std::thread([this] { io_.run(); });
 }
 
-stand_in_neighbours::~stand_in_neighbours()
+fake_neighbours::~fake_neighbours()
 {
     io_.stop();
     thread_.join();
@@ -33,12 +33,12 @@
         connector->stop();
 }
 
-void stand_in_neighbours::connect(
+void fake_neighbours::connect(
     const std::string& name, const asio::ip::tcp::endpoint& host)
 {
     wire::link_handlers handlers;
     handlers.on_message = [this, name](const auto& from, wire::message said) {
-        hear(name, from, said);
+        receive(name, from, said);
     };
     const auto introduction = [name] {
         return wire::hello{
@@ -60,7 +60,7 @@
     connectors_.back()->start();
 }
 
-void stand_in_neighbours::hear(
+void fake_neighbours::receive(
     const std::string& name,
     const std::shared_ptr<wire::link>& from,
     const wire::message& said)
@@ -75,19 +75,19 @@
         if (limits != nullptr)
             limits_.push_back(*limits);
         if (is_table)
-            tables_.push_back(said);
+            table_messages_.push_back(said);
         if (pull != nullptr)
-            asked_.push_back(name);
+            pull_receivers_.push_back(name);
         if (crashes != nullptr)
             crash_reports_.push_back(*crashes);
     }
     if (pull == nullptr)
         return;
-    if (const auto answer = answer_(*pull))
+    if (const auto answer = pull_handler_(*pull))
         from->send(*answer);
 }
 
-bool stand_in_neighbours::are_linked()
+bool fake_neighbours::are_linked()
 {
     return asio::post(io_, asio::use_future([this] {
                           return std::all_of(
@@ -101,12 +101,12 @@
         .get();
 }
 
-void stand_in_neighbours::announce(std::uint64_t version)
+void fake_neighbours::announce_table_version(std::uint64_t version)
 {
-    say(wire::catalogue_position{version, 0});
+    broadcast(wire::catalogue_position{version, 0});
 }
 
-void stand_in_neighbours::say(const wire::message& said)
+void fake_neighbours::broadcast(const wire::message& said)
 {
     world::wait("links", [this] { return are_linked(); });
     asio::post(io_, asio::use_future([this, &said] {
@@ -116,28 +116,28 @@
         .get();
 }
 
-std::vector<std::string> stand_in_neighbours::asked() const
+std::vector<std::string> fake_neighbours::pull_receivers() const
 {
     const std::lock_guard guard(mutex_);
-    return asked_;
+    return pull_receivers_;
 }
 
-std::vector<wire::crash_reports> stand_in_neighbours::crash_reports() const
+std::vector<wire::crash_reports> fake_neighbours::crash_reports() const
 {
     const std::lock_guard guard(mutex_);
     return crash_reports_;
 }
 
-std::vector<wire::server_limits> stand_in_neighbours::limits() const
+std::vector<wire::server_limits> fake_neighbours::limits() const
 {
     const std::lock_guard guard(mutex_);
     return limits_;
 }
 
-std::vector<wire::message> stand_in_neighbours::tables() const
+std::vector<wire::message> fake_neighbours::table_messages() const
 {
     const std::lock_guard guard(mutex_);
-    return tables_;
+    return table_messages_;
 }
 
 } // namespace godwit::platform_adapter::test
--- a/tests/platform_adapter/fake_neighbours.hpp
+++ b/tests/platform_adapter/fake_neighbours.hpp
@@ -21,29 +21,29 @@
 
 /// Entry hosts "n0", "n1", ... that are linked to the one under test, on a
 /// thread of their own. Every member may be used on any thread.
-class stand_in_neighbours
+class fake_neighbours
 {
 public:
     /// What a neighbour answers to a question for a table, if anything.
-    using answer_to_pull =
+    using pull_handler =
         std::function<std::optional<wire::message>(const wire::pull&)>;
 
     /// Connects `count` of them to `host`.
-    stand_in_neighbours(
-        std::size_t count, const http::endpoint& host, answer_to_pull answer);
-    ~stand_in_neighbours();
+    fake_neighbours(
+        std::size_t count, const http::endpoint& host, pull_handler answer);
+    ~fake_neighbours();
 
-    stand_in_neighbours(const stand_in_neighbours&) = delete;
-    stand_in_neighbours& operator=(const stand_in_neighbours&) = delete;
+    fake_neighbours(const fake_neighbours&) = delete;
+    fake_neighbours& operator=(const fake_neighbours&) = delete;
 
     /// Each of them says this, once all are linked.
-    void say(const wire::message& said);
+    void broadcast(const wire::message& said);
 
     /// Each of them has this version of the route table in force.
-    void announce(std::uint64_t version);
+    void announce_table_version(std::uint64_t version);
 
     /// The names of those that were asked for a table, in their order.
-    [[nodiscard]] std::vector<std::string> asked() const;
+    [[nodiscard]] std::vector<std::string> pull_receivers() const;
 
     /// The crash reports that they received, in order.
     [[nodiscard]] std::vector<wire::crash_reports> crash_reports() const;
@@ -52,13 +52,13 @@
     [[nodiscard]] std::vector<wire::server_limits> limits() const;
 
     /// What they were told of tables, in its order.
-    [[nodiscard]] std::vector<wire::message> tables() const;
+    [[nodiscard]] std::vector<wire::message> table_messages() const;
 
 private:
     [[nodiscard]] bool are_linked();
     void connect(
         const std::string& name, const boost::asio::ip::tcp::endpoint& host);
-    void hear(
+    void receive(
         const std::string& name,
         const std::shared_ptr<wire::link>& from,
         const wire::message& said);
@@ -66,11 +66,11 @@
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
         work_;
-    answer_to_pull answer_;
+    pull_handler pull_handler_;
     std::vector<std::shared_ptr<wire::connector>> connectors_;
     mutable std::mutex mutex_;
-    std::vector<std::string> asked_;
-    std::vector<wire::message> tables_;
+    std::vector<std::string> pull_receivers_;
+    std::vector<wire::message> table_messages_;
     std::vector<wire::server_limits> limits_;
     std::vector<wire::crash_reports> crash_reports_;
     std::thread thread_;
--- a/tests/platform_adapter/fake_server.cpp
+++ b/tests/platform_adapter/fake_server.cpp
@@ -7,11 +7,11 @@
 
 namespace asio = boost::asio;
 
-stand_in_server::stand_in_server(asio::io_context& context, std::string id)
+fake_server::fake_server(asio::io_context& context, std::string id)
     : id_(std::move(id))
 {
-    behaviour_ = [](http::exchange& asked) -> asio::awaitable<void> {
-        http::response whole = answer(asked, 200, "hello");
+    handler_ = [](http::exchange& asked) -> asio::awaitable<void> {
+        http::response whole = signed_response(asked, 200, "hello");
         [[maybe_unused]] const auto sent =
             co_await asked.respond(std::move(whole));
     };
@@ -27,13 +27,13 @@
                           asked.cut();
                           co_return;
                       }
-                      co_await behaviour_(asked);
+                      co_await handler_(asked);
                   })
                   .value();
 }
 
 std::string
-stand_in_server::entry(const std::string& state, unsigned sequence) const
+fake_server::record(const std::string& state, unsigned sequence) const
 {
     const std::string born =
         started_at_ms_ == 0 ? std::string()
@@ -43,18 +43,18 @@
            std::to_string(sequence) + born + "}";
 }
 
-std::string stand_in_server::address() const
+std::string fake_server::address() const
 {
     return server_->address().to_string();
 }
 
-std::vector<http::request> stand_in_server::received()
+std::vector<http::request> fake_server::received()
 {
     const std::lock_guard lock(mutex_);
     return received_;
 }
 
-std::size_t stand_in_server::count(const std::string& path)
+std::size_t fake_server::count(const std::string& path)
 {
     const auto all = received();
     return static_cast<std::size_t>(std::count_if(
@@ -63,7 +63,7 @@
         }));
 }
 
-http::header_fields stand_in_server::signed_fields(const http::exchange& asked)
+http::header_fields fake_server::signed_fields(const http::exchange& asked)
 {
     http::header_fields fields;
     fields.set("X-Godwitworks-Replica-Signature", "signed");
@@ -72,7 +72,7 @@
     return fields;
 }
 
-http::response stand_in_server::answer(
+http::response fake_server::signed_response(
     const http::exchange& asked, unsigned status, std::string body)
 {
     http::response made;
--- a/tests/platform_adapter/fake_server.hpp
+++ b/tests/platform_adapter/fake_server.hpp
@@ -16,34 +16,34 @@
 namespace godwit::platform_adapter::test {
 
 /// A backend server whose answers a test chooses.
-class stand_in_server
+class fake_server
 {
 public:
-    using behaviour =
+    using request_handler =
         std::function<boost::asio::awaitable<void>(http::exchange&)>;
 
-    stand_in_server(boost::asio::io_context& context, std::string id);
+    fake_server(boost::asio::io_context& context, std::string id);
 
     /// What it does from now on; set before requests come.
-    void behave(behaviour chosen) { behaviour_ = std::move(chosen); }
+    void set_handler(request_handler chosen) { handler_ = std::move(chosen); }
 
     /// Where it stands from now on; "east" if this is not called.
-    void move_to_zone(std::string zone) { zone_ = std::move(zone); }
+    void set_zone(std::string zone) { zone_ = std::move(zone); }
 
     /// The life that its entries and later reports speak of; none is named if
     /// this is not called.
-    void begin_life(std::uint64_t started_at_ms)
+    void restart(std::uint64_t started_at_ms)
     {
         started_at_ms_ = started_at_ms;
         is_crashed_ = false;
     }
 
-    /// Cuts the connection of every request until `begin_life`.
+    /// Cuts the connection of every request until `restart`.
     void crash() { is_crashed_ = true; }
 
     /// The entry under which it lists itself.
     [[nodiscard]] std::string
-    entry(const std::string& state, unsigned sequence) const;
+    record(const std::string& state, unsigned sequence) const;
 
     [[nodiscard]] const std::string& id() const { return id_; }
 
@@ -60,15 +60,15 @@
     signed_fields(const http::exchange& asked);
 
     /// A signed answer to `asked`.
-    static http::response
-    answer(const http::exchange& asked, unsigned status, std::string body);
+    static http::response signed_response(
+        const http::exchange& asked, unsigned status, std::string body);
 
 private:
     std::string id_;
     std::string zone_ = "east";
     std::uint64_t started_at_ms_ = 0;
     std::atomic<bool> is_crashed_ = false;
-    behaviour behaviour_;
+    request_handler handler_;
     std::mutex mutex_;
     std::vector<http::request> received_;
     std::unique_ptr<http::server> server_;
--- a/tests/platform_adapter/fake_store.cpp
+++ b/tests/platform_adapter/fake_store.cpp
@@ -75,7 +75,7 @@
 
 } // namespace
 
-stand_in_store::stand_in_store(asio::io_context& context)
+fake_store::fake_store(asio::io_context& context)
 {
     server_ = http::server::create(
                   context,
@@ -86,12 +86,12 @@
                   .value();
 }
 
-const http::endpoint& stand_in_store::address() const
+const http::endpoint& fake_store::address() const
 {
     return server_->address();
 }
 
-void stand_in_store::put(
+void fake_store::put(
     const std::string& topic,
     const std::string& key,
     std::optional<std::string> value)
@@ -100,14 +100,14 @@
     topics_[topic].records.push_back({key, std::move(value)});
 }
 
-void stand_in_store::put_unreadable(const std::string& topic)
+void fake_store::put_unreadable(const std::string& topic)
 {
     const std::lock_guard lock(mutex_);
     topics_[topic].records.push_back({"", std::nullopt, true});
 }
 
 std::optional<std::pair<std::string, std::string>>
-stand_in_store::find(const std::string& topic, const std::string& key_prefix)
+fake_store::find(const std::string& topic, const std::string& key_prefix)
 {
     const std::lock_guard lock(mutex_);
     const auto& records = topics_[topic].records;
@@ -118,7 +118,7 @@
     return std::nullopt;
 }
 
-bool stand_in_store::has(const std::string& topic, const std::string& key)
+bool fake_store::has(const std::string& topic, const std::string& key)
 {
     const std::lock_guard lock(mutex_);
     bool has_value = false;
@@ -129,38 +129,38 @@
     return has_value;
 }
 
-void stand_in_store::compact()
+void fake_store::compact()
 {
     const std::lock_guard lock(mutex_);
     for (auto& [name, log] : topics_)
         log.first = log.records.size();
 }
 
-void stand_in_store::set_epoch(std::optional<std::string> epoch)
+void fake_store::set_epoch(std::optional<std::string> epoch)
 {
     const std::lock_guard lock(mutex_);
     epoch_ = std::move(epoch);
 }
 
-void stand_in_store::take_copy()
+void fake_store::back_up()
 {
     const std::lock_guard lock(mutex_);
-    copy_ = topics_;
+    backup_ = topics_;
 }
 
-void stand_in_store::restore(const std::vector<written_again>& records)
+void fake_store::restore(const std::vector<rewritten_record>& records)
 {
     const std::lock_guard lock(mutex_);
-    topics_ = copy_;
+    topics_ = backup_;
     ++restores_;
     if (epoch_)
         epoch_ = std::to_string(1 + restores_);
-    for (const written_again& one : records)
+    for (const rewritten_record& one : records)
         topics_[one.topic].records.push_back({one.key, one.value});
 }
 
 asio::awaitable<void>
-stand_in_store::answer_call(http::exchange& asked, http::response answer)
+fake_store::respond(http::exchange& asked, http::response answer)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -171,7 +171,7 @@
         co_await asked.respond(std::move(answer));
 }
 
-asio::awaitable<void> stand_in_store::serve(http::exchange& asked)
+asio::awaitable<void> fake_store::serve(http::exchange& asked)
 {
     ++calls_;
     const std::string target = asked.received().target;
@@ -194,10 +194,10 @@
             answer.status = 404;
         }
     }
-    co_await answer_call(asked, std::move(answer));
+    co_await respond(asked, std::move(answer));
 }
 
-asio::awaitable<void> stand_in_store::read(http::exchange& asked)
+asio::awaitable<void> fake_store::read(http::exchange& asked)
 {
     const std::string target = asked.received().target;
     const std::string topic = parameter(target, "topic");
@@ -206,9 +206,9 @@
         core::monotonic_now() +
         std::chrono::milliseconds(std::stol(parameter(target, "wait_ms")));
     http::response answer;
-    const unsigned lost_reads = lost_reads_;
+    const unsigned dropped_reads = dropped_reads_;
     while (true) {
-        if (lost_reads == lost_reads_) {
+        if (dropped_reads == dropped_reads_) {
             const std::lock_guard lock(mutex_);
             const topic_log& log = topics_[topic];
             if (from < log.first || from > log.records.size()) {
@@ -227,11 +227,11 @@
             asked.executor(), std::chrono::milliseconds(2));
         co_await pause.async_wait(asio::use_awaitable);
     }
-    co_await answer_call(asked, std::move(answer));
+    co_await respond(asked, std::move(answer));
 }
 
 // A length that the record does not have stands for the key's.
-std::string stand_in_store::bytes_of(const record& one)
+std::string fake_store::bytes_of(const record& one)
 {
     using namespace std::string_literals;
     if (one.is_unreadable)
@@ -240,7 +240,7 @@
 }
 
 std::string
-stand_in_store::newest(const std::string& topic, const std::string& after)
+fake_store::newest(const std::string& topic, const std::string& after)
 {
     const std::lock_guard lock(mutex_);
     std::map<std::string, std::optional<std::string>> latest;
@@ -269,7 +269,7 @@
         {"end", topics_[topic].records.size()}});
 }
 
-void stand_in_store::append(const std::string& topic, const std::string& body)
+void fake_store::append(const std::string& topic, const std::string& body)
 {
     ++appends_;
     const auto page =
--- a/tests/platform_adapter/fake_store.hpp
+++ b/tests/platform_adapter/fake_store.hpp
@@ -19,10 +19,10 @@
 
 /// The platform's store as the adapter sees it: keyed topics in memory, one
 /// partition each. `put` and the switches may be used on any thread.
-class stand_in_store
+class fake_store
 {
 public:
-    explicit stand_in_store(boost::asio::io_context& context);
+    explicit fake_store(boost::asio::io_context& context);
 
     [[nodiscard]] const http::endpoint& address() const;
 
@@ -39,13 +39,13 @@
     void set_page_size(std::size_t items) { page_size_ = items; }
 
     /// Every call is answered with this status; 0 serves again.
-    void answer_with(unsigned status) { status_ = status; }
+    void set_status(unsigned status) { status_ = status; }
 
     /// Forgets the records that were read; the newest of each key stay.
     void compact();
 
     /// A record that the store gets again after it was restored.
-    struct written_again
+    struct rewritten_record
     {
         std::string topic;
         std::string key;
@@ -56,14 +56,14 @@
     void set_epoch(std::optional<std::string> epoch);
 
     /// Keeps a copy of all records, for `restore`.
-    void take_copy();
+    void back_up();
 
     /// Restarts from the copy in the next era: what came since is lost, its
     /// offsets are given out again, first to `records`. Reads stay open.
-    void restore(const std::vector<written_again>& records = {});
+    void restore(const std::vector<rewritten_record>& records = {});
 
     /// Reads that are open now are never answered.
-    void lose_open_reads() { ++lost_reads_; }
+    void drop_open_reads() { ++dropped_reads_; }
 
     /// Returns the key and value of the newest record that has a value and
     /// whose key starts with `key_prefix`.
@@ -95,7 +95,7 @@
 
     boost::asio::awaitable<void> serve(http::exchange& asked);
     boost::asio::awaitable<void>
-    answer_call(http::exchange& asked, http::response answer);
+    respond(http::exchange& asked, http::response answer);
     boost::asio::awaitable<void> read(http::exchange& asked);
     [[nodiscard]] std::string
     newest(const std::string& topic, const std::string& after);
@@ -104,14 +104,14 @@
 
     std::mutex mutex_;
     std::map<std::string, topic_log> topics_;
-    std::map<std::string, topic_log> copy_;
+    std::map<std::string, topic_log> backup_;
     std::optional<std::string> epoch_ = "1";
     unsigned restores_ = 0;
     std::atomic<std::size_t> page_size_ = 500;
     std::atomic<unsigned> status_ = 0;
     std::atomic<unsigned> calls_ = 0;
     std::atomic<unsigned> appends_ = 0;
-    std::atomic<unsigned> lost_reads_ = 0;
+    std::atomic<unsigned> dropped_reads_ = 0;
     std::unique_ptr<http::server> server_;
 };
 
--- a/tests/platform_adapter/moves_world_test.cpp
+++ b/tests/platform_adapter/moves_world_test.cpp
@@ -61,13 +61,14 @@
         }
         const bool is_refused = copies++ < refused_copies;
         if (is_refused) {
-            http::response refused = stand_in_server::answer(asked, 503, "{}");
+            http::response refused =
+                fake_server::signed_response(asked, 503, "{}");
             [[maybe_unused]] const auto told =
                 co_await asked.respond(std::move(refused));
             co_return;
         }
         stopped = stopped || is_last || dies_after_copy;
-        http::response done = stand_in_server::answer(
+        http::response done = fake_server::signed_response(
             asked, is_last ? last_copy_status : 200, R"({"handle":"c7"})");
         [[maybe_unused]] const auto said =
             co_await asked.respond(std::move(done));
@@ -79,7 +80,7 @@
         const bool resumes = fields.find("Kv-From").has_value();
         const auto last = fields.find("Last-Event-Id");
         int id = last ? std::stoi(std::string(*last)) : 0;
-        http::response head = stand_in_server::answer(asked, 200, "");
+        http::response head = fake_server::signed_response(asked, 200, "");
         [[maybe_unused]] auto said =
             co_await asked.start_stream(200, head.fields);
         const int end = resumes ? id + 5 : events;
@@ -125,11 +126,11 @@
 
     void move_while_streaming(moving_server& at_first, moving_server& at_second)
     {
-        world_.first().behave(
+        world_.first().set_handler(
             [&at_first](http::exchange& asked) -> asio::awaitable<void> {
                 co_await at_first(asked);
             });
-        world_.second().behave(
+        world_.second().set_handler(
             [&at_second](http::exchange& asked) -> asio::awaitable<void> {
                 co_await at_second(asked);
             });
@@ -146,7 +147,7 @@
                 return at_first.copies_before_last > 0;
             });
         if (has_other_home_) {
-            world_.second().move_to_zone("south");
+            world_.second().set_zone("south");
             world_.list(world_.second(), "ready");
         }
         if (leaves_source_ || leaves_later_)
@@ -258,7 +259,7 @@
     void come_home(moving_server& at_first, moving_server& at_second)
     {
         world_.set_token_usage("100,4000");
-        world_.first().move_to_zone("west");
+        world_.first().set_zone("west");
         leaves_source_ = false;
         move_while_streaming(at_first, at_second);
     }
@@ -333,13 +334,13 @@
         moving_server at_first;
         moving_server at_second;
         std::atomic<bool> leaves = false;
-        world_.first().behave(
+        world_.first().set_handler(
             [&](http::exchange& asked) -> asio::awaitable<void> {
                 if (asked.received().target != "/api/report") {
                     co_await at_first(asked);
                     co_return;
                 }
-                http::response report = stand_in_server::answer(
+                http::response report = fake_server::signed_response(
                     asked,
                     200,
                     leaves ? R"({"state":"draining"})"
@@ -347,7 +348,7 @@
                 [[maybe_unused]] const auto said =
                     co_await asked.respond(std::move(report));
             });
-        world_.second().behave(
+        world_.second().set_handler(
             [&at_second](http::exchange& asked) -> asio::awaitable<void> {
                 co_await at_second(asked);
             });
@@ -360,7 +361,7 @@
         world::wait("events", [&at_first] { return at_first.sent > 3; });
         world_.list(world_.second(), "ready");
         if (store_away)
-            world_.store().answer_with(503);
+            world_.store().set_status(503);
         leaves = true;
         caller.join();
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
--- a/tests/platform_adapter/restored_store_test.cpp
+++ b/tests/platform_adapter/restored_store_test.cpp
@@ -45,7 +45,7 @@
     void test_a_version_at_a_reused_offset_comes_into_force()
     {
         world_.begin();
-        world_.store().take_copy();
+        world_.store().back_up();
         for (const unsigned version : {2U, 4U, 5U}) {
             world_.publish(version);
             wait_for_version(version);
@@ -63,7 +63,7 @@
     {
         world_.store().set_epoch(std::nullopt);
         begin_registered();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.publish(2);
         wait_for_version(2);
         world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
@@ -75,7 +75,7 @@
     void test_two_restores_within_a_second()
     {
         world_.begin();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.publish(2);
         wait_for_version(2);
         world_.store().restore({world_.table_record(3)});
@@ -86,7 +86,7 @@
     void test_an_accepted_version_stays_while_the_store_has_an_older_one()
     {
         world_.begin();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.publish(2, "k2");
         wait_for_version(2);
         const unsigned calls = world_.store().calls();
@@ -101,14 +101,14 @@
     void test_an_open_read_of_another_topic_is_abandoned()
     {
         begin_registered();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
         world_.store().restore({host("h9"), host("h8")});
         wait_for_fleet(3);
     }
 
-    static platform_adapter::test::stand_in_store::written_again
+    static platform_adapter::test::fake_store::rewritten_record
     host(const std::string& name)
     {
         return {"keyed.hosts", name, "127.0.0.1:9/east"};
@@ -145,11 +145,11 @@
     void begin_with_second_lost()
     {
         world_.begin_with_first();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.list(world_.second(), "ready");
     }
 
-    platform_adapter::test::stand_in_store::written_again second_entry()
+    platform_adapter::test::fake_store::rewritten_record second_entry()
     {
         const auto found = world_.store().find("keyed.servers", "i-2");
         return {"keyed.servers", "i-2", found.value().second};
@@ -185,7 +185,7 @@
     void test_a_server_that_left_is_not_used_again()
     {
         world_.begin();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.list(world_.second(), "draining");
         const unsigned calls = world_.store().calls();
         // The copy shows it ready.
@@ -212,7 +212,7 @@
     {
         begin_registered();
         world_.store().put("keyed.hosts", "h1", std::nullopt);
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.store().restore();
         world::wait("the record", [this] {
             return world_.store().has("keyed.hosts", "h1");
@@ -222,7 +222,7 @@
     void test_hosts_that_the_copy_lacks_stay_known()
     {
         begin_registered();
-        world_.store().take_copy();
+        world_.store().back_up();
         world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
         const unsigned calls = world_.store().calls();
--- a/tests/platform_adapter/server_limits_test.cpp
+++ b/tests/platform_adapter/server_limits_test.cpp
@@ -55,12 +55,12 @@
         });
     }
 
-    static stand_in_server::behaviour
+    static fake_server::request_handler
     answer_with_limit(const std::string& limit, unsigned status = 200)
     {
         return [limit, status](http::exchange& asked) -> asio::awaitable<void> {
             http::response whole =
-                stand_in_server::answer(asked, status, event(1));
+                fake_server::signed_response(asked, status, event(1));
             if (!limit.empty())
                 whole.fields.set("Server-Limit", limit);
             [[maybe_unused]] const auto sent =
@@ -68,7 +68,7 @@
         };
     }
 
-    bool is_limited(stand_in_server& server)
+    bool is_limited(fake_server& server)
     {
         const placement::server_id id(server.id());
         return world_.look<bool>([&id](entry::entry_process& process) {
@@ -77,7 +77,7 @@
     }
 
     // Sends requests until the entry host knows the server's limit.
-    void call_until_limited(stand_in_server& server)
+    void call_until_limited(fake_server& server)
     {
         world::wait("the limit", [this, &server] {
             [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
@@ -104,7 +104,7 @@
 
     void test_requests_beyond_a_limit_go_to_other_servers()
     {
-        world_.first().behave(answer_with_limit("2.0"));
+        world_.first().set_handler(answer_with_limit("2.0"));
         world_.begin();
         call_until_limited(world_.first());
         const std::size_t before = world_.first().count("/plain/");
@@ -122,8 +122,8 @@
     // Both servers fail, so that requests are retried.
     void test_retries_count_towards_the_limit()
     {
-        world_.first().behave(answer_with_limit("2.0", 500));
-        world_.second().behave(answer_with_limit("", 500));
+        world_.first().set_handler(answer_with_limit("2.0", 500));
+        world_.second().set_handler(answer_with_limit("", 500));
         world_.begin();
         call_until_limited(world_.first());
         const std::size_t before = world_.first().count("/again/");
@@ -133,8 +133,8 @@
 
     void test_streams_count_towards_the_limit()
     {
-        world_.first().behave(answer_with_limit("2.0"));
-        world_.second().behave(answer_with_limit(""));
+        world_.first().set_handler(answer_with_limit("2.0"));
+        world_.second().set_handler(answer_with_limit(""));
         world_.begin();
         call_until_limited(world_.first());
         const std::size_t before = world_.first().count("/stream/");
@@ -146,8 +146,8 @@
 
     void test_requests_beyond_every_limit_are_refused_at_once()
     {
-        world_.first().behave(answer_with_limit("1"));
-        world_.second().behave(answer_with_limit("1"));
+        world_.first().set_handler(answer_with_limit("1"));
+        world_.second().set_handler(answer_with_limit("1"));
         world_.begin();
         world::wait("both limits", [this] {
             [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
@@ -173,13 +173,13 @@
 
     void test_requests_of_neighbours_count_towards_the_limit()
     {
-        world_.first().behave(answer_with_limit("2.0"));
+        world_.first().set_handler(answer_with_limit("2.0"));
         begin_with_neighbour();
-        stand_in_neighbours others(1, world_.neighbours(), &no_table);
-        others.announce(1);
+        fake_neighbours others(1, world_.neighbours(), &no_table);
+        others.announce_table_version(1);
         call_until_limited(world_.first());
         // The limit for five seconds.
-        others.say(
+        others.broadcast(
             wire::server_limits{{{world_.first().id(), 0, true, 2.0, 0, 10}}});
         world::wait("the requests", [this] {
             return world_.look<bool>([this](entry::entry_process& process) {
@@ -195,10 +195,10 @@
 
     void test_neighbours_receive_limits_and_requests()
     {
-        world_.first().behave(answer_with_limit("50"));
+        world_.first().set_handler(answer_with_limit("50"));
         begin_with_neighbour();
-        stand_in_neighbours others(1, world_.neighbours(), &no_table);
-        others.announce(1);
+        fake_neighbours others(1, world_.neighbours(), &no_table);
+        others.announce_table_version(1);
         call_until_limited(world_.first());
         world::wait("reported requests", [this, &others] {
             [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
@@ -217,15 +217,15 @@
 
     void test_an_answer_without_a_limit_lifts_it()
     {
-        world_.first().behave(answer_with_limit("4"));
-        world_.second().behave(answer_with_limit("4"));
+        world_.first().set_handler(answer_with_limit("4"));
+        world_.second().set_handler(answer_with_limit("4"));
         world_.begin();
         world::wait("both limits", [this] {
             [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
             return is_limited(world_.first()) && is_limited(world_.second());
         });
-        world_.first().behave(answer_with_limit(""));
-        world_.second().behave(answer_with_limit(""));
+        world_.first().set_handler(answer_with_limit(""));
+        world_.second().set_handler(answer_with_limit(""));
         world::wait("the lifting of both limits", [this] {
             [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
             return !is_limited(world_.first()) && !is_limited(world_.second());
@@ -236,11 +236,11 @@
 
     void test_a_restart_lifts_the_limit()
     {
-        world_.first().behave(answer_with_limit("1"));
+        world_.first().set_handler(answer_with_limit("1"));
         world_.begin();
         world_.restart(world_.first());
         call_until_limited(world_.first());
-        world_.first().behave(answer_with_limit(""));
+        world_.first().set_handler(answer_with_limit(""));
         world_.restart(world_.first());
         CPPUNIT_ASSERT(!is_limited(world_.first()));
     }
@@ -250,10 +250,10 @@
         world_.begin();
         for (const char* value :
              {"-1", "x", "1e99", "inf", "nan", "1,2", "", " ", "0x10"}) {
-            world_.first().behave(
+            world_.first().set_handler(
                 [value](http::exchange& asked) -> asio::awaitable<void> {
                     http::response whole =
-                        stand_in_server::answer(asked, 200, "hello");
+                        fake_server::signed_response(asked, 200, "hello");
                     whole.fields.add("Server-Limit", value);
                     [[maybe_unused]] const auto sent =
                         co_await asked.respond(std::move(whole));
@@ -264,10 +264,10 @@
             CPPUNIT_ASSERT(!is_limited(world_.first()));
         }
         // A repeated field is invalid.
-        world_.first().behave(
+        world_.first().set_handler(
             [](http::exchange& asked) -> asio::awaitable<void> {
                 http::response whole =
-                    stand_in_server::answer(asked, 200, "hello");
+                    fake_server::signed_response(asked, 200, "hello");
                 whole.fields.add("Server-Limit", "1");
                 whole.fields.add("Server-Limit", "2");
                 [[maybe_unused]] const auto sent =
--- a/tests/platform_adapter/suspended_host_test.cpp
+++ b/tests/platform_adapter/suspended_host_test.cpp
@@ -34,7 +34,7 @@
     {
         std::future<unsigned> status;
         world_.suspend(std::chrono::seconds(30), [&] {
-            world_.store().lose_open_reads();
+            world_.store().drop_open_reads();
             meanwhile();
             status = std::async(std::launch::async, [this, &key] {
                 return world_.call("POST", "/plain/", key).status;
@@ -113,7 +113,7 @@
         begin_with_key("k2");
         constexpr unsigned unavailable = 503;
         const unsigned status = status_after_suspension(
-            "k2", [this] { world_.store().answer_with(unavailable); });
+            "k2", [this] { world_.store().set_status(unavailable); });
         CPPUNIT_ASSERT_EQUAL(200U, status);
     }
 };
--- a/tests/platform_adapter/table_changes_test.cpp
+++ b/tests/platform_adapter/table_changes_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 using namespace godwit;
-using platform_adapter::test::stand_in_neighbours;
+using platform_adapter::test::fake_neighbours;
 using platform_adapter::test::table_text;
 using platform_adapter::test::world;
 
@@ -73,11 +73,11 @@
         ahead newer;
         world tested;
         tested.begin_without_store();
-        stand_in_neighbours others(
+        fake_neighbours others(
             1, tested.neighbours(), [&newer](const wire::pull& asked) {
                 return newer.answer(asked);
             });
-        others.announce(2);
+        others.announce_table_version(2);
         await_version(tested, 2);
         CPPUNIT_ASSERT_EQUAL(200U, tested.call("GET", "/plain/", "k2").status);
         const auto asked = newer.asked();
@@ -90,14 +90,14 @@
         ahead newer;
         world tested;
         tested.begin_without_store();
-        stand_in_neighbours others(
+        fake_neighbours others(
             1, tested.neighbours(), [&newer](const wire::pull& asked) {
                 wire::table_changes changes = newer.answer(asked);
                 if (!changes.base.empty())
                     changes.steps[0].compressed[8] ^= 1;
                 return changes;
             });
-        others.announce(2);
+        others.announce_table_version(2);
         await_version(tested, 2);
         const auto asked = newer.asked();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, asked.size());
@@ -105,11 +105,12 @@
         CPPUNIT_ASSERT_EQUAL(200U, tested.call("GET", "/plain/", "k2").status);
     }
 
-    static wire::message told(stand_in_neighbours& others, wire::pull question)
+    static wire::message told(fake_neighbours& others, wire::pull question)
     {
-        others.say(question);
-        world::wait("a table", [&others] { return !others.tables().empty(); });
-        return others.tables().front();
+        others.broadcast(question);
+        world::wait(
+            "a table", [&others] { return !others.table_messages().empty(); });
+        return others.table_messages().front();
     }
 
     void test_a_host_tells_what_changed()
@@ -118,10 +119,9 @@
         tested.begin();
         tested.publish(2, "k2");
         await_version(tested, 2);
-        stand_in_neighbours others(
-            1, tested.neighbours(), [](const wire::pull&) {
-                return std::nullopt;
-            });
+        fake_neighbours others(1, tested.neighbours(), [](const wire::pull&) {
+            return std::nullopt;
+        });
         entry::table_history behind;
         behind.set_full(1, table_text(1));
         const auto said = std::get<wire::table_changes>(
@@ -135,10 +135,9 @@
     {
         world tested;
         tested.begin();
-        stand_in_neighbours others(
-            1, tested.neighbours(), [](const wire::pull&) {
-                return std::nullopt;
-            });
+        fake_neighbours others(1, tested.neighbours(), [](const wire::pull&) {
+            return std::nullopt;
+        });
         const auto said =
             std::get<wire::table_document>(told(others, wire::pull{1}));
         CPPUNIT_ASSERT(said.text == table_text(1));
--- a/tests/platform_adapter/table_questions_test.cpp
+++ b/tests/platform_adapter/table_questions_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using namespace godwit;
-using platform_adapter::test::stand_in_neighbours;
+using platform_adapter::test::fake_neighbours;
 using platform_adapter::test::world;
 
 constexpr std::size_t neighbours = 8;
@@ -48,42 +48,43 @@
     {
         world tested;
         tested.begin_without_store();
-        stand_in_neighbours others(neighbours, tested.neighbours(), &table);
-        others.announce(2);
+        fake_neighbours others(neighbours, tested.neighbours(), &table);
+        others.announce_table_version(2);
         world::wait(
             "version 2", [&tested] { return tested.table_version() == 2; });
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.asked().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.pull_receivers().size());
     }
 
     void test_another_neighbour_is_asked_when_one_is_silent()
     {
         world tested;
         tested.begin_without_store();
-        stand_in_neighbours others(
+        fake_neighbours others(
             neighbours, tested.neighbours(), [](const wire::pull&) {
                 return std::nullopt;
             });
-        others.announce(2);
-        world::wait(
-            "a question", [&others] { return !others.asked().empty(); });
+        others.announce_table_version(2);
+        world::wait("a question", [&others] {
+            return !others.pull_receivers().empty();
+        });
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.asked().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.pull_receivers().size());
         world::wait("another question", [&others] {
-            return others.asked().size() > 1;
+            return others.pull_receivers().size() > 1;
         });
-        const auto asked = others.asked();
+        const auto asked = others.pull_receivers();
         CPPUNIT_ASSERT(asked[0] != asked[1]);
     }
 
     static unsigned
-    status_amid_announcement(stand_in_neighbours::answer_to_pull answer)
+    status_amid_announcement(fake_neighbours::pull_handler answer)
     {
         world tested;
         tested.begin_without_store();
-        stand_in_neighbours others(
+        fake_neighbours others(
             neighbours, tested.neighbours(), std::move(answer));
-        others.announce(2);
+        others.announce_table_version(2);
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
         return tested.call("POST", "/plain/", "k2").status;
     }
--- a/tests/platform_adapter/topic_follower_test.cpp
+++ b/tests/platform_adapter/topic_follower_test.cpp
@@ -36,7 +36,7 @@
     void test_an_exception_does_not_end_the_following()
     {
         boost::asio::io_context io{1};
-        test::stand_in_store store(io);
+        test::fake_store store(io);
         store.put("t", "first", "1");
         store_client client(io.get_executor(), store.address());
         std::set<std::string> seen;
@@ -88,7 +88,7 @@
     void test_it_rests_while_others_read()
     {
         boost::asio::io_context io{1};
-        test::stand_in_store store(io);
+        test::fake_store store(io);
         store.put("t", "first", "1");
         store_client client(io.get_executor(), store.address());
         bool others_read = true;
@@ -133,7 +133,7 @@
     void test_it_reads_anew_only_if_nobody_reads_for_it()
     {
         boost::asio::io_context io{1};
-        test::stand_in_store store(io);
+        test::fake_store store(io);
         store_client client(io.get_executor(), store.address());
         bool others_read = true;
         unsigned reads = 0;
@@ -167,8 +167,8 @@
     void test_it_comes_back_slowly_while_turned_away()
     {
         boost::asio::io_context io{1};
-        test::stand_in_store store(io);
-        store.answer_with(503);
+        test::fake_store store(io);
+        store.set_status(503);
         store_client client(io.get_executor(), store.address());
         topic_poll_policy policy;
         policy.max_retry_delay = [] {
@@ -188,7 +188,7 @@
         run_for(io, 4000);
         CPPUNIT_ASSERT(store.calls() <= 6);
         CPPUNIT_ASSERT_EQUAL(0U, reads);
-        store.answer_with(0);
+        store.set_status(0);
         run_for(io, 3500);
         CPPUNIT_ASSERT(reads > 0);
     }
--- a/tests/platform_adapter/world.cpp
+++ b/tests/platform_adapter/world.cpp
@@ -111,9 +111,9 @@
 
 world::world() : outside_work_(asio::make_work_guard(outside_))
 {
-    store_ = std::make_unique<stand_in_store>(outside_);
-    first_ = std::make_unique<stand_in_server>(outside_, "i-1");
-    second_ = std::make_unique<stand_in_server>(outside_, "i-2");
+    store_ = std::make_unique<fake_store>(outside_);
+    first_ = std::make_unique<fake_server>(outside_, "i-1");
+    second_ = std::make_unique<fake_server>(outside_, "i-2");
     process_ = start_process(inside_, {});
     sources_ = std::make_unique<platform_sources>(
         inside_.get_executor(), store_->address(), *process_);
@@ -146,15 +146,16 @@
     store_->put("keyed.op", "config", table_text(version, extra_key, hold_ms_));
 }
 
-stand_in_store::written_again
+fake_store::rewritten_record
 world::table_record(unsigned version, const std::string& extra_key) const
 {
     return {"keyed.op", "config", table_text(version, extra_key, hold_ms_)};
 }
 
-void world::list(stand_in_server& server, const std::string& state)
+void world::list(fake_server& server, const std::string& state)
 {
-    store_->put("keyed.servers", server.id(), server.entry(state, ++sequence_));
+    store_->put(
+        "keyed.servers", server.id(), server.record(state, ++sequence_));
     const placement::server_id id(server.id());
     const bool is_ready = state == "ready";
     wait("the list", [this, &id, is_ready] {
@@ -164,9 +165,9 @@
     });
 }
 
-void world::restart(stand_in_server& server)
+void world::restart(fake_server& server)
 {
-    server.begin_life(++started_at_ms_);
+    server.restart(++started_at_ms_);
     list(server, "ready");
     const placement::server_id id(server.id());
     const placement::server_start start{started_at_ms_};
@@ -196,10 +197,10 @@
 {
     constexpr unsigned unavailable = 503;
     begin();
-    store_->answer_with(unavailable);
+    store_->set_status(unavailable);
 }
 
-std::uint64_t world::arriving_at(const stand_in_server& server)
+std::uint64_t world::arriving_at(const fake_server& server)
 {
     const placement::server_id id(server.id());
     return look<std::uint64_t>([&id](entry::entry_process& process) {
--- a/tests/platform_adapter/world.hpp
+++ b/tests/platform_adapter/world.hpp
@@ -41,15 +41,15 @@
     world(const world&) = delete;
     world& operator=(const world&) = delete;
 
-    stand_in_store& store() { return *store_; }
+    fake_store& store() { return *store_; }
 
     /// Follows the store's topics once more, as after a new start of the
     /// process under its name.
     void start_sources_again();
 
-    stand_in_server& first() { return *first_; }
+    fake_server& first() { return *first_; }
 
-    stand_in_server& second() { return *second_; }
+    fake_server& second() { return *second_; }
 
     /// From the next version on engines keep room for requests, for at most
     /// so many milliseconds.
@@ -63,15 +63,15 @@
     void publish(unsigned version, const std::string& extra_key = "");
 
     /// The record that publishes the table as `version`.
-    [[nodiscard]] stand_in_store::written_again
+    [[nodiscard]] fake_store::rewritten_record
     table_record(unsigned version, const std::string& extra_key = "") const;
 
     /// Lists the server so, and waits until the entry host believes it.
-    void list(stand_in_server& server, const std::string& state);
+    void list(fake_server& server, const std::string& state);
 
     /// Lists the server with a new start time, and waits until the entry host
     /// has it.
-    void restart(stand_in_server& server);
+    void restart(fake_server& server);
 
     /// Publishes version 1, lists both servers and waits until ready.
     void begin();
@@ -105,7 +105,7 @@
     [[nodiscard]] http::response ask_operators(const std::string& page);
 
     /// Memory that the entry host believes to be on its way to the server.
-    [[nodiscard]] std::uint64_t arriving_at(const stand_in_server& server);
+    [[nodiscard]] std::uint64_t arriving_at(const fake_server& server);
 
     /// Where callers connect.
     [[nodiscard]] http::endpoint callers() const;
@@ -140,9 +140,9 @@
     boost::asio::io_context inside_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
         outside_work_;
-    std::unique_ptr<stand_in_store> store_;
-    std::unique_ptr<stand_in_server> first_;
-    std::unique_ptr<stand_in_server> second_;
+    std::unique_ptr<fake_store> store_;
+    std::unique_ptr<fake_server> first_;
+    std::unique_ptr<fake_server> second_;
     std::unique_ptr<entry::entry_process> process_;
     std::unique_ptr<platform_sources> sources_;
     std::unique_ptr<platform_sources> later_sources_;
--- a/tests/platform_adapter/world_test.cpp
+++ b/tests/platform_adapter/world_test.cpp
@@ -16,10 +16,11 @@
 using namespace godwit::platform_adapter::test;
 namespace asio = boost::asio;
 
-stand_in_server::behaviour answers(unsigned status, const std::string& body)
+fake_server::request_handler answers(unsigned status, const std::string& body)
 {
     return [status, body](http::exchange& asked) -> asio::awaitable<void> {
-        http::response whole = stand_in_server::answer(asked, status, body);
+        http::response whole =
+            fake_server::signed_response(asked, status, body);
         if (status == 503)
             whole.fields.set("X-Godwitworks-Not-Executed", "1");
         [[maybe_unused]] const auto sent =
@@ -104,7 +105,7 @@
 
     void test_a_rejected_request_goes_to_another_server()
     {
-        world_.first().behave(answers(503, ""));
+        world_.first().set_handler(answers(503, ""));
         world_.begin();
         for (int count = 0; count < 6; ++count)
             CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
@@ -113,8 +114,8 @@
 
     void test_a_request_that_all_reject_has_not_run()
     {
-        world_.first().behave(answers(503, ""));
-        world_.second().behave(answers(503, ""));
+        world_.first().set_handler(answers(503, ""));
+        world_.second().set_handler(answers(503, ""));
         world_.begin();
         const auto answer = world_.call("POST", "/plain/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
@@ -128,8 +129,8 @@
             asked.cut();
             co_return;
         };
-        world_.first().behave(lose);
-        world_.second().behave(lose);
+        world_.first().set_handler(lose);
+        world_.second().set_handler(lose);
         world_.begin();
         CPPUNIT_ASSERT_EQUAL(502U, world_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(
@@ -145,11 +146,11 @@
             co_return;
         };
         for (const bool is_lost : {false, true}) {
-            world_.first().behave(
-                is_lost ? stand_in_server::behaviour(lose)
+            world_.first().set_handler(
+                is_lost ? fake_server::request_handler(lose)
                         : answers(500, "no"));
-            world_.second().behave(
-                is_lost ? stand_in_server::behaviour(lose)
+            world_.second().set_handler(
+                is_lost ? fake_server::request_handler(lose)
                         : answers(500, "no"));
             if (!is_lost)
                 world_.begin();
@@ -166,8 +167,8 @@
 
     void test_a_failure_is_repeated_once_where_it_may_be()
     {
-        world_.first().behave(answers(500, "no"));
-        world_.second().behave(answers(500, "no"));
+        world_.first().set_handler(answers(500, "no"));
+        world_.second().set_handler(answers(500, "no"));
         world_.begin();
         CPPUNIT_ASSERT_EQUAL(500U, world_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(500U, world_.call("GET", "/again/").status);
@@ -192,12 +193,12 @@
                 co_return;
             }
             http::response failed =
-                stand_in_server::answer(asked, 500, "its own words");
+                fake_server::signed_response(asked, 500, "its own words");
             [[maybe_unused]] const auto said =
                 co_await asked.respond(std::move(failed));
         };
-        world_.first().behave(fail);
-        world_.second().behave(fail);
+        world_.first().set_handler(fail);
+        world_.second().set_handler(fail);
         world_.begin();
         const auto answer = world_.call("GET", "/again/");
         CPPUNIT_ASSERT_EQUAL(2, calls->load());
@@ -208,13 +209,14 @@
     void test_an_unsigned_success_is_no_answer()
     {
         const auto unsign = [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response whole = stand_in_server::answer(asked, 200, "?");
+            http::response whole =
+                fake_server::signed_response(asked, 200, "?");
             whole.fields.remove("X-Godwitworks-Replica-Signature");
             [[maybe_unused]] const auto sent =
                 co_await asked.respond(std::move(whole));
         };
-        world_.first().behave(unsign);
-        world_.second().behave(unsign);
+        world_.first().set_handler(unsign);
+        world_.second().set_handler(unsign);
         world_.begin();
         CPPUNIT_ASSERT_EQUAL(502U, world_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(502U, world_.call("GET", "/stream/").status);
@@ -224,13 +226,14 @@
     {
         const auto confuse =
             [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response other = stand_in_server::answer(asked, 200, "other");
+            http::response other =
+                fake_server::signed_response(asked, 200, "other");
             other.fields.set("X-Godwitworks-Attempt-Id", "someone");
             [[maybe_unused]] const auto sent =
                 co_await asked.respond(std::move(other));
         };
-        world_.first().behave(confuse);
-        world_.second().behave(confuse);
+        world_.first().set_handler(confuse);
+        world_.second().set_handler(confuse);
         world_.begin();
         // The own answer never comes; the other one is not delivered.
         const auto answer = world_.call("POST", "/plain/");
@@ -269,7 +272,7 @@
     {
         world_.begin();
         for (const unsigned status : {503U, 429U, 500U}) {
-            world_.store().answer_with(status);
+            world_.store().set_status(status);
             const unsigned before = world_.store().calls();
             world::wait("calls", [this, before] {
                 return world_.store().calls() > before + 2;
@@ -278,7 +281,7 @@
             CPPUNIT_ASSERT(world_.is_ready());
         }
         world_.publish(2, "k2");
-        world_.store().answer_with(0);
+        world_.store().set_status(0);
         world::wait(
             "version 2", [this] { return world_.table_version() == 2; });
     }
@@ -287,13 +290,13 @@
     void test_a_store_that_turns_away_is_asked_ever_more_seldom()
     {
         world_.begin();
-        world_.store().answer_with(503);
+        world_.store().set_status(503);
         const unsigned before = world_.store().calls();
         std::this_thread::sleep_for(std::chrono::milliseconds(2500));
         // Three topics, each asked after 0.2, 0.4, 0.8 and 1 s.
         CPPUNIT_ASSERT(world_.store().calls() - before <= 18);
         world_.publish(3);
-        world_.store().answer_with(0);
+        world_.store().set_status(0);
         world::wait(
             "version 3", [this] { return world_.table_version() == 3; });
     }
@@ -301,10 +304,10 @@
     void test_history_that_is_dropped_is_read_anew()
     {
         world_.begin();
-        world_.store().answer_with(503);
+        world_.store().set_status(503);
         world_.publish(8);
         world_.store().compact();
-        world_.store().answer_with(0);
+        world_.store().set_status(0);
         world::wait(
             "version 8", [this] { return world_.table_version() == 8; });
     }
@@ -312,7 +315,7 @@
     void test_a_stream_arrives_whole()
     {
         const auto stream = [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response head = stand_in_server::answer(asked, 200, "");
+            http::response head = fake_server::signed_response(asked, 200, "");
             [[maybe_unused]] auto sent =
                 co_await asked.start_stream(200, head.fields);
             for (int id = 1; id <= 3; ++id) {
@@ -321,8 +324,8 @@
             }
             sent = co_await asked.finish_stream();
         };
-        world_.first().behave(stream);
-        world_.second().behave(stream);
+        world_.first().set_handler(stream);
+        world_.second().set_handler(stream);
         world_.begin();
         const auto answer = world_.call("POST", "/stream/");
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
@@ -331,12 +334,12 @@
 
     /// A server that answers questions for room with `status`, and streams
     /// one event.
-    static stand_in_server::behaviour keeps_room(unsigned status)
+    static fake_server::request_handler keeps_room(unsigned status)
     {
         return [status](http::exchange& asked) -> asio::awaitable<void> {
             const bool is_question =
                 asked.received().target == "/api/hold-take";
-            http::response head = stand_in_server::answer(
+            http::response head = fake_server::signed_response(
                 asked, is_question ? status : 200, R"({"hold":"q7"})");
             if (is_question && status == 0) {
                 co_await sleep(asked, 2000);
@@ -355,17 +358,17 @@
     void begin_with_holds(unsigned at_first, unsigned at_second)
     {
         world_.offer_holds(2000);
-        world_.first().behave(keeps_room(at_first));
-        world_.second().behave(keeps_room(at_second));
+        world_.first().set_handler(keeps_room(at_first));
+        world_.second().set_handler(keeps_room(at_second));
         world_.begin();
     }
 
     // It has not run there, and its server is nearer than the other one.
     void test_a_stream_that_is_rejected_goes_to_another_server()
     {
-        world_.first().behave(answers(503, ""));
-        world_.second().behave(keeps_room(200));
-        world_.second().move_to_zone("west");
+        world_.first().set_handler(answers(503, ""));
+        world_.second().set_handler(keeps_room(200));
+        world_.second().set_zone("west");
         world_.begin();
         const auto answer = world_.call("POST", "/stream/");
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
@@ -393,7 +396,7 @@
     // It would be chosen again: it is nearer than the other one.
     void test_a_server_that_keeps_no_room_is_asked_once()
     {
-        world_.second().move_to_zone("west");
+        world_.second().set_zone("west");
         begin_with_holds(503, 200);
         CPPUNIT_ASSERT_EQUAL(event(1), world_.call("POST", "/stream/").body);
         CPPUNIT_ASSERT_EQUAL(
@@ -403,8 +406,8 @@
     // Without holds the engine's own queue keeps the order.
     void test_without_holds_the_priority_is_passed_on()
     {
-        world_.first().behave(keeps_room(200));
-        world_.second().behave(keeps_room(200));
+        world_.first().set_handler(keeps_room(200));
+        world_.second().set_handler(keeps_room(200));
         world_.begin();
         (void)world_.call("POST", "/stream/");
         std::size_t count = 0;
@@ -451,12 +454,12 @@
             if (asked.received().target == "/api/hold-take")
                 co_await sleep(asked, 150);
             http::response kept =
-                stand_in_server::answer(asked, 200, R"({"hold":"q7"})");
+                fake_server::signed_response(asked, 200, R"({"hold":"q7"})");
             [[maybe_unused]] const auto said =
                 co_await asked.respond(std::move(kept));
         };
-        world_.first().behave(slow);
-        world_.second().behave(slow);
+        world_.first().set_handler(slow);
+        world_.second().set_handler(slow);
         world_.begin();
         world_.call_and_leave("/stream/", 50);
         world::wait("the release", [this] {
@@ -471,15 +474,15 @@
     void test_a_broken_stream_does_not_look_complete()
     {
         const auto stream = [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response head = stand_in_server::answer(asked, 200, "");
+            http::response head = fake_server::signed_response(asked, 200, "");
             [[maybe_unused]] auto sent =
                 co_await asked.start_stream(200, head.fields);
             sent = co_await asked.write_chunk(event(1) + "id: 2\nda");
             co_await sleep(asked, 20);
             asked.cut();
         };
-        world_.first().behave(stream);
-        world_.second().behave(stream);
+        world_.first().set_handler(stream);
+        world_.second().set_handler(stream);
         world_.begin();
         // `call` fails the test itself when the body is cut.
         CPPUNIT_ASSERT_THROW(
