--- a/tests/platform_adapter/crashing_requests_test.cpp
+++ b/tests/platform_adapter/crashing_requests_test.cpp
@@ -65,13 +65,15 @@
     CPPUNIT_TEST(test_a_neighbour_hears_of_a_completed_run_that_it_missed);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     void begin()
     {
-        world_.first().set_handler(crash_or_answer(world_.first()));
-        world_.second().set_handler(crash_or_answer(world_.second()));
-        world_.begin();
+        testbed_.first_server().set_handler(
+            crash_or_answer(testbed_.first_server()));
+        testbed_.second_server().set_handler(
+            crash_or_answer(testbed_.second_server()));
+        testbed_.start();
         restart_servers();
     }
 
@@ -79,13 +81,14 @@
     // them.
     void restart_servers()
     {
-        world::wait("the probes", [this] {
-            return world_.look<bool>([](entry::entry_process& process) {
-                return process.context().crash_probes.empty();
-            });
+        testbed::wait_until("the probes", [this] {
+            return testbed_.run_on_host<bool>(
+                [](entry::entry_process& process) {
+                    return process.context().crash_probes.empty();
+                });
         });
-        world_.restart(world_.first());
-        world_.restart(world_.second());
+        testbed_.restart(testbed_.first_server());
+        testbed_.restart(testbed_.second_server());
     }
 
     static std::optional<wire::message> no_table(const wire::pull& /*asked*/)
@@ -95,22 +98,24 @@
 
     std::optional<std::pair<std::string, std::string>> quarantine_record()
     {
-        return world_.store().find("keyed.hosts", "quarantine/");
+        return testbed_.store().find("keyed.hosts", "quarantine/");
     }
 
-    std::uint64_t quarantined_count() { return quarantined_count(world_); }
+    std::uint64_t quarantined_count() { return quarantined_count(testbed_); }
 
-    static std::uint64_t quarantined_count(world& hosts)
+    static std::uint64_t quarantined_count(testbed& hosts)
     {
-        return hosts.look<std::uint64_t>([](entry::entry_process& process) {
-            return process.context().quarantine.quarantined_count();
-        });
+        return hosts.run_on_host<std::uint64_t>(
+            [](entry::entry_process& process) {
+                return process.context().quarantine.quarantined_count();
+            });
     }
 
     std::size_t crash_count()
     {
         std::size_t count = 0;
-        for (fake_server* server : {&world_.first(), &world_.second()}) {
+        for (fake_server* server :
+             {&testbed_.first_server(), &testbed_.second_server()}) {
             const auto received = server->received();
             count += static_cast<std::size_t>(std::count_if(
                 received.begin(), received.end(), [](const http::request& one) {
@@ -125,7 +130,7 @@
         constexpr int repeats = 8;
         for (int repeat = 0; repeat < repeats; ++repeat) {
             [[maybe_unused]] const auto answer =
-                world_.call_unless_cut(path, crashing_body);
+                testbed_.try_call(path, crashing_body);
             restart_servers();
         }
     }
@@ -156,7 +161,7 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        const auto answer = world_.call_unless_cut("/stream/", crashing_body);
+        const auto answer = testbed_.try_call("/stream/", crashing_body);
         CPPUNIT_ASSERT(answer);
         CPPUNIT_ASSERT_EQUAL(503U, answer->status);
         CPPUNIT_ASSERT(!answer->fields.find("Retry-After"));
@@ -170,13 +175,13 @@
         begin();
         repeat_crashing_request("/stream/");
         for (const char* body : {"", "crasher", "other"}) {
-            const auto answer = world_.call_unless_cut("/stream/", body);
+            const auto answer = testbed_.try_call("/stream/", body);
             CPPUNIT_ASSERT(answer);
             CPPUNIT_ASSERT_EQUAL(200U, answer->status);
         }
         // The same body on another route is another request.
         [[maybe_unused]] const auto cut =
-            world_.call_unless_cut("/plain/", crashing_body);
+            testbed_.try_call("/plain/", crashing_body);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, crash_count());
     }
 
@@ -198,15 +203,17 @@
                     co_await asked.respond(std::move(whole));
             };
         };
-        world_.first().set_handler(request_handler(world_.first()));
-        world_.second().set_handler(request_handler(world_.second()));
+        testbed_.first_server().set_handler(
+            request_handler(testbed_.first_server()));
+        testbed_.second_server().set_handler(
+            request_handler(testbed_.second_server()));
         for (int round = 0; round < 6; ++round) {
             is_crashing = true;
-            const auto lost = world_.call_unless_cut("/plain/", "probe");
+            const auto lost = testbed_.try_call("/plain/", "probe");
             CPPUNIT_ASSERT(!lost || lost->status == 502);
             restart_servers();
             is_crashing = false;
-            const auto answer = world_.call_unless_cut("/plain/", "probe");
+            const auto answer = testbed_.try_call("/plain/", "probe");
             CPPUNIT_ASSERT(answer);
             CPPUNIT_ASSERT_EQUAL(200U, answer->status);
         }
@@ -229,19 +236,22 @@
         };
         // The servers are listed without a start, so a report that contains one
         // must not count as a restart.
-        world_.first().set_handler(
+        testbed_.first_server().set_handler(
             request_handler(R"({"state":"ready","born":5})"));
-        world_.second().set_handler(
+        testbed_.second_server().set_handler(
             request_handler(R"({"state":"ready","born":5})"));
-        world_.begin();
+        testbed_.start();
         [[maybe_unused]] const auto lost =
-            world_.call_unless_cut("/plain/", crashing_body);
+            testbed_.try_call("/plain/", crashing_body);
         restart_servers();
-        CPPUNIT_ASSERT(world_.look<bool>([](entry::entry_process& process) {
-            return process.context().quarantine.empty();
-        }));
-        world_.first().set_handler(request_handler(R"({"state":"ready"})"));
-        world_.second().set_handler(request_handler(R"({"state":"ready"})"));
+        CPPUNIT_ASSERT(
+            testbed_.run_on_host<bool>([](entry::entry_process& process) {
+                return process.context().quarantine.empty();
+            }));
+        testbed_.first_server().set_handler(
+            request_handler(R"({"state":"ready"})"));
+        testbed_.second_server().set_handler(
+            request_handler(R"({"state":"ready"})"));
         repeat_crashing_request("/plain/");
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, crash_count());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
@@ -253,7 +263,7 @@
     {
         constexpr int restarts = 4;
         for (int restart = 0; restart < restarts; ++restart) {
-            world_.first().set_handler(
+            testbed_.first_server().set_handler(
                 [this](http::exchange& asked) -> asio::awaitable<void> {
                     [[maybe_unused]] const auto begun =
                         co_await asked.start_stream(
@@ -261,49 +271,50 @@
                     [[maybe_unused]] const auto first =
                         co_await asked.write_chunk(event(1));
                     co_await sleep(asked, 300);
-                    world_.first().crash();
+                    testbed_.first_server().crash();
                     asked.cut();
                 });
             if (restart == 0)
-                world_.begin_with_first();
-            world_.restart(world_.first());
+                testbed_.start_with_first_server();
+            testbed_.restart(testbed_.first_server());
             std::thread leaving([this] {
                 std::this_thread::sleep_for(std::chrono::milliseconds(100));
-                world_.list(world_.first(), "draining");
+                testbed_.register_server(testbed_.first_server(), "draining");
             });
             [[maybe_unused]] const auto cut =
-                world_.call_unless_cut("/stream/", "sound");
+                testbed_.try_call("/stream/", "sound");
             leaving.join();
         }
-        CPPUNIT_ASSERT(world_.look<bool>([](entry::entry_process& process) {
-            return process.context().quarantine.empty();
-        }));
+        CPPUNIT_ASSERT(
+            testbed_.run_on_host<bool>([](entry::entry_process& process) {
+                return process.context().quarantine.empty();
+            }));
     }
 
     void test_crashes_reported_by_neighbours_count()
     {
         begin();
-        fake_neighbours others(2, world_.neighbours(), &no_table);
+        fake_neighbours others(2, testbed_.neighbours(), &no_table);
         others.announce_table_version(1);
         [[maybe_unused]] const auto cut =
-            world_.call_unless_cut("/stream/", crashing_body);
-        world::wait("the report", [&others] {
+            testbed_.try_call("/stream/", crashing_body);
+        testbed::wait_until("the report", [&others] {
             return others.crash_reports().size() >= 2;
         });
         wire::crash_reports message = others.crash_reports().front();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, message.reports.size());
         message.reports.front().crashes = {{"i-8", 1, 0}, {"i-9", 1, 0}};
         others.broadcast(message);
-        world::wait(
+        testbed::wait_until(
             "the quarantine", [this] { return quarantined_count() == 1; });
         [[maybe_unused]] const auto refused =
-            world_.call_unless_cut("/stream/", crashing_body);
+            testbed_.try_call("/stream/", crashing_body);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, crash_count());
 
         message.completed = {message.reports.front().request};
         message.reports.clear();
         others.broadcast(message);
-        world::wait("the end of the quarantine", [this] {
+        testbed::wait_until("the end of the quarantine", [this] {
             return quarantined_count() == 0;
         });
     }
@@ -312,8 +323,8 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        fake_neighbours others(1, world_.neighbours(), &no_table);
-        world::wait("the report", [&others] {
+        fake_neighbours others(1, testbed_.neighbours(), &no_table);
+        testbed::wait_until("the report", [&others] {
             return !others.crash_reports().empty();
         });
         const auto received = others.crash_reports().front();
@@ -330,57 +341,58 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        world::wait("the quarantine record", [this] {
+        testbed::wait_until("the quarantine record", [this] {
             return quarantine_record().has_value();
         });
         const auto record = quarantine_record();
-        world restarted;
-        restarted.first().set_handler(crash_or_answer(restarted.first()));
-        restarted.second().set_handler(crash_or_answer(restarted.second()));
+        testbed restarted;
+        restarted.first_server().set_handler(
+            crash_or_answer(restarted.first_server()));
+        restarted.second_server().set_handler(
+            crash_or_answer(restarted.second_server()));
         restarted.store().put("keyed.hosts", record->first, record->second);
-        restarted.begin();
-        world::wait("the quarantine", [&restarted] {
+        restarted.start();
+        testbed::wait_until("the quarantine", [&restarted] {
             return quarantined_count(restarted) == 1;
         });
-        const auto answer =
-            restarted.call_unless_cut("/stream/", crashing_body);
+        const auto answer = restarted.try_call("/stream/", crashing_body);
         CPPUNIT_ASSERT(answer);
         CPPUNIT_ASSERT_EQUAL(503U, answer->status);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{0},
-            restarted.first().count("/stream/") +
-                restarted.second().count("/stream/"));
+            restarted.first_server().count("/stream/") +
+                restarted.second_server().count("/stream/"));
     }
 
     void test_deleting_the_record_ends_the_quarantine()
     {
         begin();
         repeat_crashing_request("/stream/");
-        world::wait("the quarantine record", [this] {
+        testbed::wait_until("the quarantine record", [this] {
             return quarantine_record().has_value();
         });
-        world_.store().put(
+        testbed_.store().put(
             "keyed.hosts", quarantine_record()->first, std::nullopt);
-        world::wait("the end of the quarantine", [this] {
+        testbed::wait_until("the end of the quarantine", [this] {
             return quarantined_count() == 0;
         });
-        world_.store().put("keyed.hosts", "quarantine/none", "{}");
-        world_.store().put("keyed.hosts", "quarantine/", std::nullopt);
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        testbed_.store().put("keyed.hosts", "quarantine/none", "{}");
+        testbed_.store().put("keyed.hosts", "quarantine/", std::nullopt);
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
 
     void test_a_quarantine_that_the_store_lost_is_written_again()
     {
         begin();
-        world_.store().back_up();
+        testbed_.store().back_up();
         repeat_crashing_request("/stream/");
-        world::wait(
+        testbed::wait_until(
             "the record", [this] { return quarantine_record().has_value(); });
         const std::string key = quarantine_record()->first;
-        world_.store().restore();
-        world::wait("the record again", [this, &key] {
-            return world_.store().has("keyed.hosts", key);
+        testbed_.store().restore();
+        testbed::wait_until("the record again", [this, &key] {
+            return testbed_.store().has("keyed.hosts", key);
         });
     }
 
@@ -388,15 +400,16 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        world::wait(
+        testbed::wait_until(
             "the record", [this] { return quarantine_record().has_value(); });
         const std::string key = quarantine_record()->first;
-        world_.store().back_up();
-        world_.store().put("keyed.hosts", key, std::nullopt);
-        world::wait("its end", [this] { return quarantined_count() == 0; });
-        world_.store().restore();
-        world::wait("the record's end", [this, &key] {
-            return !world_.store().has("keyed.hosts", key);
+        testbed_.store().back_up();
+        testbed_.store().put("keyed.hosts", key, std::nullopt);
+        testbed::wait_until(
+            "its end", [this] { return quarantined_count() == 0; });
+        testbed_.store().restore();
+        testbed::wait_until("the record's end", [this, &key] {
+            return !testbed_.store().has("keyed.hosts", key);
         });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
@@ -405,11 +418,12 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        world::wait(
+        testbed::wait_until(
             "the record", [this] { return quarantine_record().has_value(); });
         auto record = quarantine_record().value();
-        world_.store().put("keyed.hosts", record.first, std::nullopt);
-        world::wait("its end", [this] { return quarantined_count() == 0; });
+        testbed_.store().put("keyed.hosts", record.first, std::nullopt);
+        testbed::wait_until(
+            "its end", [this] { return quarantined_count() == 0; });
         return record;
     }
 
@@ -417,16 +431,16 @@
     void test_a_record_that_is_written_after_its_end_is_removed()
     {
         const auto [key, value] = quarantine_and_end();
-        world_.store().put("keyed.hosts", key, value);
-        world::wait("the record's end", [this, &key = key] {
-            return !world_.store().has("keyed.hosts", key);
+        testbed_.store().put("keyed.hosts", key, value);
+        testbed::wait_until("the record's end", [this, &key = key] {
+            return !testbed_.store().has("keyed.hosts", key);
         });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
 
     void test_a_neighbour_hears_of_a_completed_run_that_it_missed()
     {
-        fake_neighbours others(1, world_.neighbours(), &no_table);
+        fake_neighbours others(1, testbed_.neighbours(), &no_table);
         const auto [key, value] = quarantine_and_end();
         const auto told = others.crash_reports();
         const auto crashes =
@@ -435,7 +449,7 @@
             });
         CPPUNIT_ASSERT(crashes != told.end());
         others.broadcast(*crashes);
-        world::wait("the correction", [&others, &told] {
+        testbed::wait_until("the correction", [&others, &told] {
             const auto now_told = others.crash_reports();
             return std::any_of(
                 now_told.begin() + static_cast<std::ptrdiff_t>(told.size()),
@@ -448,19 +462,19 @@
     void test_a_malformed_report_changes_nothing()
     {
         begin();
-        fake_neighbours others(1, world_.neighbours(), &no_table);
+        fake_neighbours others(1, testbed_.neighbours(), &no_table);
         others.broadcast(wire::crash_reports{
             {{"no fingerprint",
               core::organisation_name("north"),
               {{"i-1", 1, 0}, {"i-2", 1, 0}, {"i-3", 1, 0}}}},
             {"no fingerprint either"}});
         const std::string counter = "godwit_refused_crash_reports_total 1";
-        world::wait("the refused report", [this, &counter] {
-            return world_.ask_operators("/metrics").body.find(counter) !=
+        testbed::wait_until("the refused report", [this, &counter] {
+            return testbed_.get_operator_page("/metrics").body.find(counter) !=
                    std::string::npos;
         });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 };
 
--- a/tests/platform_adapter/entries_world_test.cpp
+++ b/tests/platform_adapter/entries_world_test.cpp
@@ -46,12 +46,12 @@
     CPPUNIT_TEST(test_a_former_life_is_asked_for_no_copy);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     bool is_usable(const fake_server& server)
     {
         const placement::server_id id(server.id());
-        return world_.look<bool>([&id](entry::entry_process& process) {
+        return testbed_.run_on_host<bool>([&id](entry::entry_process& process) {
             return process.context().directory.is_usable(id);
         });
     }
@@ -59,20 +59,21 @@
     std::uint64_t life_of(const fake_server& server)
     {
         const placement::server_id id(server.id());
-        return world_.look<std::uint64_t>([&id](entry::entry_process& process) {
-            const auto* known = process.context().directory.find(id);
-            return known == nullptr ? 0 : known->start.unix_ms;
-        });
+        return testbed_.run_on_host<std::uint64_t>(
+            [&id](entry::entry_process& process) {
+                const auto* known = process.context().directory.find(id);
+                return known == nullptr ? 0 : known->start.unix_ms;
+            });
     }
 
     void put_entry(const std::string& key, const std::string& text)
     {
-        world_.store().put(servers_topic, key, text);
+        testbed_.store().put(servers_topic, key, text);
     }
 
     void wait_for_life(const fake_server& server, std::uint64_t life)
     {
-        world::wait("the life " + std::to_string(life), [&] {
+        testbed::wait_until("the life " + std::to_string(life), [&] {
             return life_of(server) == life;
         });
     }
@@ -80,143 +81,146 @@
     // After an outage the newest records are read, in pages.
     void read_lists_anew()
     {
-        const unsigned before = world_.store().calls();
-        world_.store().set_status(503);
-        world::wait("some refused calls", [this, before] {
-            return world_.store().calls() > before + 4;
+        const unsigned before = testbed_.store().calls();
+        testbed_.store().set_status(503);
+        testbed::wait_until("some refused calls", [this, before] {
+            return testbed_.store().calls() > before + 4;
         });
-        world_.store().set_status(0);
+        testbed_.store().set_status(0);
     }
 
     void test_a_refused_entry_takes_only_its_server_away()
     {
-        world_.begin();
-        const std::string whole = world_.first().record("ready", 90);
+        testbed_.start();
+        const std::string whole = testbed_.first_server().record("ready", 90);
         for (const std::string& text :
              {std::string("{"),
               std::string("\xff\0", 2),
-              world_.first().record("unheard", 90),
+              testbed_.first_server().record("unheard", 90),
               whole.substr(0, whole.size() / 2)}) {
-            put_entry(world_.first().id(), text);
-            world::wait(
-                "refusal", [this] { return !is_usable(world_.first()); });
-            CPPUNIT_ASSERT(is_usable(world_.second()));
-            world_.list(world_.first(), "ready");
+            put_entry(testbed_.first_server().id(), text);
+            testbed::wait_until("refusal", [this] {
+                return !is_usable(testbed_.first_server());
+            });
+            CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
+            testbed_.register_server(testbed_.first_server(), "ready");
         }
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
     // Another writer's entry may lack nothing but the start. Where servers do
     // not say it at all, every entry lacks it.
     void test_where_servers_say_their_start_others_are_no_servers()
     {
-        const std::string without = world_.first().record("ready", 90);
-        world_.first().restart(former_life);
-        world_.second().restart(former_life);
-        world_.begin();
+        const std::string without = testbed_.first_server().record("ready", 90);
+        testbed_.first_server().restart(former_life);
+        testbed_.second_server().restart(former_life);
+        testbed_.start();
         put_entry("i-other", without);
-        put_entry(world_.first().id(), without);
-        world::wait("refusal", [this] { return !is_usable(world_.first()); });
+        put_entry(testbed_.first_server().id(), without);
+        testbed::wait_until(
+            "refusal", [this] { return !is_usable(testbed_.first_server()); });
         const auto knows_other = [](entry::entry_process& process) {
             return process.context().directory.find(
                        placement::server_id("i-other")) != nullptr;
         };
-        CPPUNIT_ASSERT(!world_.look<bool>(knows_other));
-        CPPUNIT_ASSERT(is_usable(world_.second()));
+        CPPUNIT_ASSERT(!testbed_.run_on_host<bool>(knows_other));
+        CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
         read_lists_anew();
-        world_.list(world_.first(), "ready");
-        CPPUNIT_ASSERT(!world_.look<bool>(knows_other));
+        testbed_.register_server(testbed_.first_server(), "ready");
+        CPPUNIT_ASSERT(!testbed_.run_on_host<bool>(knows_other));
     }
 
     void test_unreadable_records_blind_nobody()
     {
-        world_.begin();
-        const unsigned calls = world_.store().calls();
+        testbed_.start();
+        const unsigned calls = testbed_.store().calls();
         for (int count = 0; count < 20; ++count) {
-            world_.store().put_unreadable(servers_topic);
+            testbed_.store().put_unreadable(servers_topic);
             put_entry("i-9", "no entry");
             put_entry("", "{}");
         }
-        world_.list(world_.first(), "draining");
-        CPPUNIT_ASSERT(is_usable(world_.second()));
+        testbed_.register_server(testbed_.first_server(), "draining");
+        CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
         // Nor is the list read anew for it, again and again.
-        CPPUNIT_ASSERT(world_.store().calls() < calls + 20);
+        CPPUNIT_ASSERT(testbed_.store().calls() < calls + 20);
     }
 
     void test_a_list_with_unreadable_items_is_read()
     {
-        world_.store().put_unreadable(servers_topic);
-        world_.store().put_unreadable("keyed.op");
+        testbed_.store().put_unreadable(servers_topic);
+        testbed_.store().put_unreadable("keyed.op");
         put_entry("i-9", "[]");
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
         read_lists_anew();
-        world_.list(world_.first(), "draining");
-        CPPUNIT_ASSERT(is_usable(world_.second()));
+        testbed_.register_server(testbed_.first_server(), "draining");
+        CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
     }
 
     void test_odd_keys_do_not_stop_a_list_in_pages()
     {
-        world_.store().set_page_size(1);
+        testbed_.store().set_page_size(1);
         for (const char* key : {"a", "a b&from=1", "b%", "c\r\nd"})
             put_entry(key, "{}");
-        world_.begin();
+        testbed_.start();
         read_lists_anew();
-        world_.list(world_.first(), "draining");
-        CPPUNIT_ASSERT(is_usable(world_.second()));
+        testbed_.register_server(testbed_.first_server(), "draining");
+        CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
     }
 
     // The store's text for it sorts before the key itself.
     void test_a_key_that_is_no_text_does_not_stop_a_list_in_pages()
     {
-        world_.store().set_page_size(2);
+        testbed_.store().set_page_size(2);
         for (const char* key : {"a", "e\xff"})
             put_entry(key, "{}");
-        world_.begin();
+        testbed_.start();
         read_lists_anew();
-        world_.list(world_.first(), "draining");
-        CPPUNIT_ASSERT(is_usable(world_.second()));
+        testbed_.register_server(testbed_.first_server(), "draining");
+        CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
     }
 
     void test_an_entry_of_an_unknown_service_is_harmless()
     {
-        world_.begin();
-        std::string text = world_.first().record("ready", 90);
+        testbed_.start();
+        std::string text = testbed_.first_server().record("ready", 90);
         text.replace(text.find("\"lm\""), 4, "\"no\"");
         put_entry("i-9", text);
         const placement::server_id id("i-9");
-        world::wait("the entry", [this, &id] {
-            return world_.look<bool>([&id](entry::entry_process& process) {
-                return process.context().directory.find(id) != nullptr;
-            });
+        testbed::wait_until("the entry", [this, &id] {
+            return testbed_.run_on_host<bool>(
+                [&id](entry::entry_process& process) {
+                    return process.context().directory.find(id) != nullptr;
+                });
         });
-        CPPUNIT_ASSERT(is_usable(world_.first()));
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
     // Each entry that is written wakes the read of every other host.
     void test_a_host_that_starts_again_writes_no_entry()
     {
-        world::wait(
-            "its entry", [this] { return world_.store().appends() == 1; });
-        const unsigned calls = world_.store().calls();
-        world_.start_sources_again();
+        testbed::wait_until(
+            "its entry", [this] { return testbed_.store().appends() == 1; });
+        const unsigned calls = testbed_.store().calls();
+        testbed_.restart_sources();
         // It has read what is newest of all three topics, and goes on.
-        world::wait("its reads", [this, calls] {
-            return world_.store().calls() >= calls + 6;
+        testbed::wait_until("its reads", [this, calls] {
+            return testbed_.store().calls() >= calls + 6;
         });
-        CPPUNIT_ASSERT_EQUAL(1U, world_.store().appends());
+        CPPUNIT_ASSERT_EQUAL(1U, testbed_.store().appends());
     }
 
     void test_refused_hosts_hide_no_other()
     {
-        world_.begin();
+        testbed_.start();
         for (const char* text : {"", "no address", "10.1.2.3:0/x", "\xff/x"})
-            world_.store().put("keyed.hosts", "h3", text);
-        world_.store().put_unreadable("keyed.hosts");
-        world_.store().put("keyed.hosts", "h2", "127.0.0.1:1/east");
-        world::wait("both hosts", [this] {
-            return world_.look<std::uint64_t>(
+            testbed_.store().put("keyed.hosts", "h3", text);
+        testbed_.store().put_unreadable("keyed.hosts");
+        testbed_.store().put("keyed.hosts", "h2", "127.0.0.1:1/east");
+        testbed::wait_until("both hosts", [this] {
+            return testbed_.run_on_host<std::uint64_t>(
                        [](entry::entry_process& process) {
                            return std::uint64_t{process.fleet_size()};
                        }) == 2;
@@ -225,50 +229,56 @@
 
     void test_a_server_begins_anew_under_its_id()
     {
-        world_.first().restart(former_life);
-        world_.begin();
-        world_.list(world_.first(), "ready");
-        const std::string late_word = world_.first().record("draining", 900);
-        world_.first().restart(new_life);
-        put_entry(world_.first().id(), world_.first().record("ready", 0));
-        wait_for_life(world_.first(), new_life);
-        CPPUNIT_ASSERT(is_usable(world_.first()));
-        put_entry(world_.first().id(), late_word);
-        world_.list(world_.second(), "draining");
-        CPPUNIT_ASSERT(is_usable(world_.first()));
-        CPPUNIT_ASSERT_EQUAL(new_life, life_of(world_.first()));
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        testbed_.first_server().restart(former_life);
+        testbed_.start();
+        testbed_.register_server(testbed_.first_server(), "ready");
+        const std::string late_word =
+            testbed_.first_server().record("draining", 900);
+        testbed_.first_server().restart(new_life);
+        put_entry(
+            testbed_.first_server().id(),
+            testbed_.first_server().record("ready", 0));
+        wait_for_life(testbed_.first_server(), new_life);
+        CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
+        put_entry(testbed_.first_server().id(), late_word);
+        testbed_.register_server(testbed_.second_server(), "draining");
+        CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
+        CPPUNIT_ASSERT_EQUAL(new_life, life_of(testbed_.first_server()));
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
     void test_a_server_that_left_begins_anew()
     {
-        world_.first().restart(former_life);
-        world_.begin();
-        world_.list(world_.first(), "draining");
-        world_.first().restart(new_life);
-        put_entry(world_.first().id(), world_.first().record("ready", 0));
-        wait_for_life(world_.first(), new_life);
-        CPPUNIT_ASSERT(is_usable(world_.first()));
+        testbed_.first_server().restart(former_life);
+        testbed_.start();
+        testbed_.register_server(testbed_.first_server(), "draining");
+        testbed_.first_server().restart(new_life);
+        put_entry(
+            testbed_.first_server().id(),
+            testbed_.first_server().record("ready", 0));
+        wait_for_life(testbed_.first_server(), new_life);
+        CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
     }
 
     void test_a_report_of_a_former_life_is_passed_over()
     {
         std::atomic<std::uint64_t> life = former_life;
-        world_.first().set_handler([&life](http::exchange& asked) {
+        testbed_.first_server().set_handler([&life](http::exchange& asked) {
             return answer_with(
                 asked,
                 200,
                 R"({"state":"draining","sequence":900,"born":)" +
                     std::to_string(life) + "}");
         });
-        world_.first().restart(new_life);
-        world_.begin();
-        world::wait("reports", [this] {
-            return world_.first().count("/api/report") > 1;
+        testbed_.first_server().restart(new_life);
+        testbed_.start();
+        testbed::wait_until("reports", [this] {
+            return testbed_.first_server().count("/api/report") > 1;
         });
-        CPPUNIT_ASSERT(is_usable(world_.first()));
+        CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
         life = new_life;
-        world::wait("leaving", [this] { return !is_usable(world_.first()); });
+        testbed::wait_until(
+            "leaving", [this] { return !is_usable(testbed_.first_server()); });
     }
 
     // The stream's connection may outlive its server's listing for a while.
@@ -278,7 +288,7 @@
         std::atomic<bool> is_over = false;
         std::atomic<int> events = 0;
         std::atomic<int> copies = 0;
-        world_.first().set_handler(
+        testbed_.first_server().set_handler(
             [&](http::exchange& asked) -> asio::awaitable<void> {
                 if (asked.received().target != "/stream/") {
                     const bool is_copy =
@@ -297,21 +307,24 @@
                 }
                 said = co_await asked.finish_stream();
             });
-        world_.first().restart(former_life);
-        world_.publish(1);
-        world_.list(world_.first(), "ready");
-        world::wait("readiness", [this] { return world_.is_ready(); });
+        testbed_.first_server().restart(former_life);
+        testbed_.publish(1);
+        testbed_.register_server(testbed_.first_server(), "ready");
+        testbed::wait_until(
+            "readiness", [this] { return testbed_.is_ready(); });
         std::optional<http::response> answer;
-        std::thread caller(
-            [this, &answer] { answer = world_.stream_unless_cut(); });
-        world::wait("events", [&events] { return events > 3; });
-        world_.list(world_.second(), "ready");
-        world_.first().restart(new_life);
-        put_entry(world_.first().id(), world_.first().record("ready", 0));
-        wait_for_life(world_.first(), new_life);
-        world_.list(world_.first(), "draining");
+        std::thread caller([this, &answer] { answer = testbed_.try_stream(); });
+        testbed::wait_until("events", [&events] { return events > 3; });
+        testbed_.register_server(testbed_.second_server(), "ready");
+        testbed_.first_server().restart(new_life);
+        put_entry(
+            testbed_.first_server().id(),
+            testbed_.first_server().record("ready", 0));
+        wait_for_life(testbed_.first_server(), new_life);
+        testbed_.register_server(testbed_.first_server(), "draining");
         const int before = events;
-        world::wait("more events", [&] { return events > before + 50; });
+        testbed::wait_until(
+            "more events", [&] { return events > before + 50; });
         is_over = true;
         caller.join();
         CPPUNIT_ASSERT_EQUAL(0, copies.load());
--- a/tests/platform_adapter/fake_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -108,7 +108,7 @@
 
 void fake_neighbours::broadcast(const wire::message& said)
 {
-    world::wait("links", [this] { return are_linked(); });
+    testbed::wait_until("links", [this] { return are_linked(); });
     asio::post(io_, asio::use_future([this, &said] {
                    for (const auto& each : connectors_)
                        each->send(said);
--- a/tests/platform_adapter/hostile_values_test.cpp
+++ b/tests/platform_adapter/hostile_values_test.cpp
@@ -86,18 +86,18 @@
     // Memory for a body is set aside when its first byte comes.
     void test_a_body_limit_beyond_memory_is_not_taken_over()
     {
-        test::world world;
-        world.begin();
-        world.store().put(
+        test::testbed testbed;
+        testbed.start();
+        testbed.store().put(
             "keyed.op",
             "config",
             R"({"version":7,"limits":{"max_body_bytes":1e15}})");
-        test::world::wait(
-            "the table", [&world] { return world.table_version() == 7; });
+        test::testbed::wait_until(
+            "the table", [&testbed] { return testbed.table_version() == 7; });
         asio::io_context io;
         asio::ip::tcp::socket caller(io);
         caller.connect(
-            {asio::ip::make_address("127.0.0.1"), world.callers().port()});
+            {asio::ip::make_address("127.0.0.1"), testbed.callers().port()});
         const std::string head = "POST /plain/a HTTP/1.1\r\nHost: a.example\r\n"
                                  "Content-Length: 999999999999999\r\n\r\n";
         asio::write(caller, asio::buffer(head));
--- a/tests/platform_adapter/moves_world_test.cpp
+++ b/tests/platform_adapter/moves_world_test.cpp
@@ -114,7 +114,7 @@
     CPPUNIT_TEST(test_a_leaving_server_is_seen_while_its_list_is_held_up);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     static std::string events_until(int last)
     {
@@ -126,32 +126,33 @@
 
     void move_while_streaming(moving_server& at_first, moving_server& at_second)
     {
-        world_.first().set_handler(
+        testbed_.first_server().set_handler(
             [&at_first](http::exchange& asked) -> asio::awaitable<void> {
                 co_await at_first(asked);
             });
-        world_.second().set_handler(
+        testbed_.second_server().set_handler(
             [&at_second](http::exchange& asked) -> asio::awaitable<void> {
                 co_await at_second(asked);
             });
-        world_.publish(1);
-        world_.list(world_.first(), "ready");
-        world::wait("readiness", [this] { return world_.is_ready(); });
+        testbed_.publish(1);
+        testbed_.register_server(testbed_.first_server(), "ready");
+        testbed::wait_until(
+            "readiness", [this] { return testbed_.is_ready(); });
         std::optional<http::response> answer;
-        std::thread caller(
-            [this, &answer] { answer = world_.stream_unless_cut(); });
-        world::wait("events", [&at_first] { return at_first.sent > 3; });
-        world_.list(world_.second(), "ready");
+        std::thread caller([this, &answer] { answer = testbed_.try_stream(); });
+        testbed::wait_until(
+            "events", [&at_first] { return at_first.sent > 3; });
+        testbed_.register_server(testbed_.second_server(), "ready");
         if (leaves_later_)
-            world::wait("a copy", [&at_first] {
+            testbed::wait_until("a copy", [&at_first] {
                 return at_first.copies_before_last > 0;
             });
         if (has_other_home_) {
-            world_.second().set_zone("south");
-            world_.list(world_.second(), "ready");
+            testbed_.second_server().set_zone("south");
+            testbed_.register_server(testbed_.second_server(), "ready");
         }
         if (leaves_source_ || leaves_later_)
-            world_.list(world_.first(), "draining");
+            testbed_.register_server(testbed_.first_server(), "draining");
         caller.join();
         is_cut_ = !answer;
         CPPUNIT_ASSERT_EQUAL(expects_cut_, is_cut_);
@@ -172,8 +173,10 @@
         move_while_streaming(at_first, at_second);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(world_.first().address() + "/c7", resumed_from());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world_.first().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            testbed_.first_server().address() + "/c7", resumed_from());
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
 
     // The first copies take long; a run that stopped for such a one would
@@ -197,7 +200,8 @@
         at_first.slow_copies = 2;
         std::map<int, std::uint64_t> arriving;
         at_first.on_running_copy = [this, &arriving](int number) {
-            arriving[number] = world_.arriving_at(world_.second());
+            arriving[number] =
+                testbed_.arriving_tokens_at(testbed_.second_server());
         };
         move_while_streaming(at_first, at_second);
         CPPUNIT_ASSERT(arriving[1] > 0);
@@ -212,15 +216,17 @@
         move_while_streaming(at_first, at_second);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(at_first.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, world_.first().count("/stream/"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{2}, testbed_.first_server().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
     /// Whose copy the second server's only run went on from.
     std::string resumed_from()
     {
         std::string source;
-        for (const http::request& one : world_.second().received()) {
+        for (const http::request& one : testbed_.second_server().received()) {
             if (one.target != "/stream/")
                 continue;
             CPPUNIT_ASSERT(source.empty());
@@ -238,7 +244,8 @@
         move_while_streaming(at_first, at_second);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(world_.first().address() + "/c7", resumed_from());
+        CPPUNIT_ASSERT_EQUAL(
+            testbed_.first_server().address() + "/c7", resumed_from());
     }
 
     // The stream broke, and the source answers, but not whether the run is
@@ -251,15 +258,16 @@
         expects_cut_ = true;
         move_while_streaming(at_first, at_second);
         CPPUNIT_ASSERT(is_cut_);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
     /// A long stream that begins in another zone, since no server of its
     /// host's zone is there; then `at_second` appears in it.
     void come_home(moving_server& at_first, moving_server& at_second)
     {
-        world_.set_token_usage("100,4000");
-        world_.first().set_zone("west");
+        testbed_.set_token_usage("100,4000");
+        testbed_.first_server().set_zone("west");
         leaves_source_ = false;
         move_while_streaming(at_first, at_second);
     }
@@ -271,8 +279,10 @@
         come_home(at_first, at_second);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(world_.first().address() + "/c7", resumed_from());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world_.first().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            testbed_.first_server().address() + "/c7", resumed_from());
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
 
     // The copies are refused until the source is seen to leave.
@@ -285,7 +295,8 @@
         come_home(at_first, at_second);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world_.first().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
 
     // The server leaves while the first copy is on its way, and that copy
@@ -302,7 +313,8 @@
         come_home(at_first, at_second);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, testbed_.second_server().count("/stream/"));
     }
 
     void test_a_stream_stays_away_when_home_refuses_it()
@@ -315,7 +327,8 @@
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(400), answer_.body);
         CPPUNIT_ASSERT(at_first.copies > 1);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
     void test_a_leaving_server_is_seen_while_the_store_is_away()
@@ -334,7 +347,7 @@
         moving_server at_first;
         moving_server at_second;
         std::atomic<bool> leaves = false;
-        world_.first().set_handler(
+        testbed_.first_server().set_handler(
             [&](http::exchange& asked) -> asio::awaitable<void> {
                 if (asked.received().target != "/api/report") {
                     co_await at_first(asked);
@@ -348,20 +361,22 @@
                 [[maybe_unused]] const auto said =
                     co_await asked.respond(std::move(report));
             });
-        world_.second().set_handler(
+        testbed_.second_server().set_handler(
             [&at_second](http::exchange& asked) -> asio::awaitable<void> {
                 co_await at_second(asked);
             });
-        world_.publish(1);
-        world_.list(world_.first(), "ready");
-        world::wait("readiness", [this] { return world_.is_ready(); });
+        testbed_.publish(1);
+        testbed_.register_server(testbed_.first_server(), "ready");
+        testbed::wait_until(
+            "readiness", [this] { return testbed_.is_ready(); });
         http::response answer;
         std::thread caller(
-            [this, &answer] { answer = world_.call("POST", "/stream/"); });
-        world::wait("events", [&at_first] { return at_first.sent > 3; });
-        world_.list(world_.second(), "ready");
+            [this, &answer] { answer = testbed_.call("POST", "/stream/"); });
+        testbed::wait_until(
+            "events", [&at_first] { return at_first.sent > 3; });
+        testbed_.register_server(testbed_.second_server(), "ready");
         if (store_away)
-            world_.store().set_status(503);
+            testbed_.store().set_status(503);
         leaves = true;
         caller.join();
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
--- a/tests/platform_adapter/restored_store_test.cpp
+++ b/tests/platform_adapter/restored_store_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace godwit;
-using platform_adapter::test::world;
+using platform_adapter::test::testbed;
 
 class restored_store_test : public CppUnit::TestFixture
 {
@@ -31,12 +31,12 @@
     CPPUNIT_TEST(test_hosts_that_the_copy_lacks_stay_known);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     void wait_for_version(unsigned version)
     {
-        world::wait("the version", [this, version] {
-            return world_.table_version() == version;
+        testbed::wait_until("the version", [this, version] {
+            return testbed_.table_version() == version;
         });
     }
 
@@ -44,56 +44,58 @@
     // beyond the end.
     void test_a_version_at_a_reused_offset_comes_into_force()
     {
-        world_.begin();
-        world_.store().back_up();
+        testbed_.start();
+        testbed_.store().back_up();
         for (const unsigned version : {2U, 4U, 5U}) {
-            world_.publish(version);
+            testbed_.publish(version);
             wait_for_version(version);
         }
-        world_.store().restore(
-            {world_.table_record(5),
-             world_.table_record(7),
-             world_.table_record(8, "k2")});
+        testbed_.store().restore(
+            {testbed_.table_record(5),
+             testbed_.table_record(7),
+             testbed_.table_record(8, "k2")});
         wait_for_version(8);
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/", "k2").status);
+        CPPUNIT_ASSERT_EQUAL(
+            200U, testbed_.call("POST", "/plain/", "k2").status);
     }
 
     // One topic's shorter log shows it; the other's has the length it had.
     void test_a_shorter_log_is_noticed_without_an_era()
     {
-        world_.store().set_epoch(std::nullopt);
+        testbed_.store().set_epoch(std::nullopt);
         begin_registered();
-        world_.store().back_up();
-        world_.publish(2);
+        testbed_.store().back_up();
+        testbed_.publish(2);
         wait_for_version(2);
-        world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
+        testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
-        world_.store().restore({host("h9"), host("h8")});
+        testbed_.store().restore({host("h9"), host("h8")});
         wait_for_fleet(3);
     }
 
     void test_two_restores_within_a_second()
     {
-        world_.begin();
-        world_.store().back_up();
-        world_.publish(2);
+        testbed_.start();
+        testbed_.store().back_up();
+        testbed_.publish(2);
         wait_for_version(2);
-        world_.store().restore({world_.table_record(3)});
-        world_.store().restore({world_.table_record(5)});
+        testbed_.store().restore({testbed_.table_record(3)});
+        testbed_.store().restore({testbed_.table_record(5)});
         wait_for_version(5);
     }
 
     void test_an_accepted_version_stays_while_the_store_has_an_older_one()
     {
-        world_.begin();
-        world_.store().back_up();
-        world_.publish(2, "k2");
+        testbed_.start();
+        testbed_.store().back_up();
+        testbed_.publish(2, "k2");
         wait_for_version(2);
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
         wait_for_reading_anew(calls);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.table_version());
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/", "k2").status);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, testbed_.table_version());
+        CPPUNIT_ASSERT_EQUAL(
+            200U, testbed_.call("POST", "/plain/", "k2").status);
     }
 
     // A read of the hosts is held open for half a minute; the era that another
@@ -101,10 +103,10 @@
     void test_an_open_read_of_another_topic_is_abandoned()
     {
         begin_registered();
-        world_.store().back_up();
-        world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
+        testbed_.store().back_up();
+        testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
-        world_.store().restore({host("h9"), host("h8")});
+        testbed_.store().restore({host("h9"), host("h8")});
         wait_for_fleet(3);
     }
 
@@ -116,15 +118,15 @@
 
     void begin_registered()
     {
-        world_.begin();
-        world::wait("registration", [this] {
-            return world_.store().find("keyed.hosts", "h1").has_value();
+        testbed_.start();
+        testbed::wait_until("registration", [this] {
+            return testbed_.store().find("keyed.hosts", "h1").has_value();
         });
     }
 
     bool is_usable(const std::string& id)
     {
-        return world_.look<bool>([&id](auto& process) {
+        return testbed_.run_on_host<bool>([&id](auto& process) {
             return process.context().directory.is_usable(
                 placement::server_id(id));
         });
@@ -144,21 +146,21 @@
 
     void begin_with_second_lost()
     {
-        world_.begin_with_first();
-        world_.store().back_up();
-        world_.list(world_.second(), "ready");
+        testbed_.start_with_first_server();
+        testbed_.store().back_up();
+        testbed_.register_server(testbed_.second_server(), "ready");
     }
 
     platform_adapter::test::fake_store::rewritten_record second_entry()
     {
-        const auto found = world_.store().find("keyed.servers", "i-2");
+        const auto found = testbed_.store().find("keyed.servers", "i-2");
         return {"keyed.servers", "i-2", found.value().second};
     }
 
     void wait_for_reading_anew(unsigned calls)
     {
-        world::wait("reads", [this, calls] {
-            return world_.store().calls() >= calls + 6;
+        testbed::wait_until("reads", [this, calls] {
+            return testbed_.store().calls() >= calls + 6;
         });
     }
 
@@ -166,30 +168,31 @@
     {
         begin_with_second_lost();
         const auto entry = second_entry();
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
         wait_for_reading_anew(calls);
         CPPUNIT_ASSERT(is_usable("i-2"));
-        world_.store().put(entry.topic, entry.key, entry.value);
+        testbed_.store().put(entry.topic, entry.key, entry.value);
         CPPUNIT_ASSERT(stays_usable("i-2"));
     }
 
     void test_a_server_that_is_not_listed_again_is_gone()
     {
         begin_with_second_lost();
-        world_.store().restore();
-        world::wait("the server's end", [this] { return !is_usable("i-2"); });
+        testbed_.store().restore();
+        testbed::wait_until(
+            "the server's end", [this] { return !is_usable("i-2"); });
         CPPUNIT_ASSERT(is_usable("i-1"));
     }
 
     void test_a_server_that_left_is_not_used_again()
     {
-        world_.begin();
-        world_.store().back_up();
-        world_.list(world_.second(), "draining");
-        const unsigned calls = world_.store().calls();
+        testbed_.start();
+        testbed_.store().back_up();
+        testbed_.register_server(testbed_.second_server(), "draining");
+        const unsigned calls = testbed_.store().calls();
         // The copy shows it ready.
-        world_.store().restore();
+        testbed_.store().restore();
         wait_for_reading_anew(calls);
         CPPUNIT_ASSERT(!is_usable("i-2"));
         CPPUNIT_ASSERT(is_usable("i-1"));
@@ -201,40 +204,40 @@
     {
         begin_with_second_lost();
         const auto entry = second_entry();
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
         wait_for_reading_anew(calls);
-        world_.store().restore({entry});
+        testbed_.store().restore({entry});
         CPPUNIT_ASSERT(stays_usable("i-2"));
     }
 
     void test_a_hosts_own_record_is_written_again()
     {
         begin_registered();
-        world_.store().put("keyed.hosts", "h1", std::nullopt);
-        world_.store().back_up();
-        world_.store().restore();
-        world::wait("the record", [this] {
-            return world_.store().has("keyed.hosts", "h1");
+        testbed_.store().put("keyed.hosts", "h1", std::nullopt);
+        testbed_.store().back_up();
+        testbed_.store().restore();
+        testbed::wait_until("the record", [this] {
+            return testbed_.store().has("keyed.hosts", "h1");
         });
     }
 
     void test_hosts_that_the_copy_lacks_stay_known()
     {
         begin_registered();
-        world_.store().back_up();
-        world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
+        testbed_.store().back_up();
+        testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
         wait_for_reading_anew(calls);
         wait_for_fleet(2);
     }
 
     void wait_for_fleet(std::size_t size)
     {
-        world::wait("the fleet", [this, size] {
-            return world_.look<std::size_t>([](auto& process) {
+        testbed::wait_until("the fleet", [this, size] {
+            return testbed_.run_on_host<std::size_t>([](auto& process) {
                 return process.fleet_size();
             }) == size;
         });
--- a/tests/platform_adapter/server_limits_test.cpp
+++ b/tests/platform_adapter/server_limits_test.cpp
@@ -36,7 +36,7 @@
     CPPUNIT_TEST(test_invalid_limits_are_ignored);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     static std::optional<wire::message> no_table(const wire::pull& /*asked*/)
     {
@@ -46,12 +46,13 @@
     // Starts with a second host in the fleet.
     void begin_with_neighbour()
     {
-        world_.begin();
-        world_.store().put("keyed.hosts", "n0", "127.0.0.1:1/east");
-        world::wait("the other host", [this] {
-            return world_.look<bool>([](entry::entry_process& process) {
-                return process.fleet_size() == 2;
-            });
+        testbed_.start();
+        testbed_.store().put("keyed.hosts", "n0", "127.0.0.1:1/east");
+        testbed::wait_until("the other host", [this] {
+            return testbed_.run_on_host<bool>(
+                [](entry::entry_process& process) {
+                    return process.fleet_size() == 2;
+                });
         });
     }
 
@@ -71,7 +72,7 @@
     bool is_limited(fake_server& server)
     {
         const placement::server_id id(server.id());
-        return world_.look<bool>([&id](entry::entry_process& process) {
+        return testbed_.run_on_host<bool>([&id](entry::entry_process& process) {
             return process.context().limits.is_limited(id);
         });
     }
@@ -79,8 +80,9 @@
     // Sends requests until the entry host knows the server's limit.
     void call_until_limited(fake_server& server)
     {
-        world::wait("the limit", [this, &server] {
-            [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
+        testbed::wait_until("the limit", [this, &server] {
+            [[maybe_unused]] const auto answer =
+                testbed_.call("POST", "/plain/");
             return is_limited(server);
         });
     }
@@ -91,7 +93,7 @@
         std::size_t served = 0;
         const auto end = clock_type::now() + span;
         while (clock_type::now() < end) {
-            const auto answer = world_.call("POST", path);
+            const auto answer = testbed_.call("POST", path);
             served += answer.status == 200 ? 1 : 0;
             std::this_thread::sleep_for(milliseconds(10));
         }
@@ -104,59 +106,64 @@
 
     void test_requests_beyond_a_limit_go_to_other_servers()
     {
-        world_.first().set_handler(answer_with_limit("2.0"));
-        world_.begin();
-        call_until_limited(world_.first());
-        const std::size_t before = world_.first().count("/plain/");
-        const std::size_t others = world_.second().count("/plain/");
+        testbed_.first_server().set_handler(answer_with_limit("2.0"));
+        testbed_.start();
+        call_until_limited(testbed_.first_server());
+        const std::size_t before = testbed_.first_server().count("/plain/");
+        const std::size_t others = testbed_.second_server().count("/plain/");
         const std::size_t served = call_for(window, "/plain/");
-        CPPUNIT_ASSERT(world_.first().count("/plain/") - before <= allowed);
-        CPPUNIT_ASSERT(world_.first().count("/plain/") - before >= 4);
+        CPPUNIT_ASSERT(
+            testbed_.first_server().count("/plain/") - before <= allowed);
+        CPPUNIT_ASSERT(testbed_.first_server().count("/plain/") - before >= 4);
         CPPUNIT_ASSERT_EQUAL(
             served,
-            world_.first().count("/plain/") - before +
-                world_.second().count("/plain/") - others);
+            testbed_.first_server().count("/plain/") - before +
+                testbed_.second_server().count("/plain/") - others);
         CPPUNIT_ASSERT(served > 50);
     }
 
     // Both servers fail, so that requests are retried.
     void test_retries_count_towards_the_limit()
     {
-        world_.first().set_handler(answer_with_limit("2.0", 500));
-        world_.second().set_handler(answer_with_limit("", 500));
-        world_.begin();
-        call_until_limited(world_.first());
-        const std::size_t before = world_.first().count("/again/");
+        testbed_.first_server().set_handler(answer_with_limit("2.0", 500));
+        testbed_.second_server().set_handler(answer_with_limit("", 500));
+        testbed_.start();
+        call_until_limited(testbed_.first_server());
+        const std::size_t before = testbed_.first_server().count("/again/");
         [[maybe_unused]] const std::size_t served = call_for(window, "/again/");
-        CPPUNIT_ASSERT(world_.first().count("/again/") - before <= allowed);
+        CPPUNIT_ASSERT(
+            testbed_.first_server().count("/again/") - before <= allowed);
     }
 
     void test_streams_count_towards_the_limit()
     {
-        world_.first().set_handler(answer_with_limit("2.0"));
-        world_.second().set_handler(answer_with_limit(""));
-        world_.begin();
-        call_until_limited(world_.first());
-        const std::size_t before = world_.first().count("/stream/");
+        testbed_.first_server().set_handler(answer_with_limit("2.0"));
+        testbed_.second_server().set_handler(answer_with_limit(""));
+        testbed_.start();
+        call_until_limited(testbed_.first_server());
+        const std::size_t before = testbed_.first_server().count("/stream/");
         [[maybe_unused]] const std::size_t served =
             call_for(window, "/stream/");
-        CPPUNIT_ASSERT(world_.first().count("/stream/") - before <= allowed);
-        CPPUNIT_ASSERT(world_.second().count("/stream/") > 0);
+        CPPUNIT_ASSERT(
+            testbed_.first_server().count("/stream/") - before <= allowed);
+        CPPUNIT_ASSERT(testbed_.second_server().count("/stream/") > 0);
     }
 
     void test_requests_beyond_every_limit_are_refused_at_once()
     {
-        world_.first().set_handler(answer_with_limit("1"));
-        world_.second().set_handler(answer_with_limit("1"));
-        world_.begin();
-        world::wait("both limits", [this] {
-            [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
-            return is_limited(world_.first()) && is_limited(world_.second());
+        testbed_.first_server().set_handler(answer_with_limit("1"));
+        testbed_.second_server().set_handler(answer_with_limit("1"));
+        testbed_.start();
+        testbed::wait_until("both limits", [this] {
+            [[maybe_unused]] const auto answer =
+                testbed_.call("POST", "/plain/");
+            return is_limited(testbed_.first_server()) &&
+                   is_limited(testbed_.second_server());
         });
         std::size_t refused = 0;
         for (int count = 0; count < 20; ++count) {
             const auto begun = clock_type::now();
-            const auto answer = world_.call("POST", "/plain/");
+            const auto answer = testbed_.call("POST", "/plain/");
             if (answer.status == 200)
                 continue;
             ++refused;
@@ -173,39 +180,43 @@
 
     void test_requests_of_neighbours_count_towards_the_limit()
     {
-        world_.first().set_handler(answer_with_limit("2.0"));
+        testbed_.first_server().set_handler(answer_with_limit("2.0"));
         begin_with_neighbour();
-        fake_neighbours others(1, world_.neighbours(), &no_table);
+        fake_neighbours others(1, testbed_.neighbours(), &no_table);
         others.announce_table_version(1);
-        call_until_limited(world_.first());
+        call_until_limited(testbed_.first_server());
         // The limit for five seconds.
-        others.broadcast(
-            wire::server_limits{{{world_.first().id(), 0, true, 2.0, 0, 10}}});
-        world::wait("the requests", [this] {
-            return world_.look<bool>([this](entry::entry_process& process) {
-                return process.context().limits.wait_time(
-                           placement::server_id(world_.first().id()),
-                           core::monotonic_now()) > std::chrono::seconds(3);
-            });
+        others.broadcast(wire::server_limits{
+            {{testbed_.first_server().id(), 0, true, 2.0, 0, 10}}});
+        testbed::wait_until("the requests", [this] {
+            return testbed_.run_on_host<bool>(
+                [this](entry::entry_process& process) {
+                    return process.context().limits.wait_time(
+                               placement::server_id(
+                                   testbed_.first_server().id()),
+                               core::monotonic_now()) > std::chrono::seconds(3);
+                });
         });
-        const std::size_t before = world_.first().count("/plain/");
+        const std::size_t before = testbed_.first_server().count("/plain/");
         CPPUNIT_ASSERT(call_for(milliseconds(2000), "/plain/") > 20);
-        CPPUNIT_ASSERT_EQUAL(before, world_.first().count("/plain/"));
+        CPPUNIT_ASSERT_EQUAL(before, testbed_.first_server().count("/plain/"));
     }
 
     void test_neighbours_receive_limits_and_requests()
     {
-        world_.first().set_handler(answer_with_limit("50"));
+        testbed_.first_server().set_handler(answer_with_limit("50"));
         begin_with_neighbour();
-        fake_neighbours others(1, world_.neighbours(), &no_table);
+        fake_neighbours others(1, testbed_.neighbours(), &no_table);
         others.announce_table_version(1);
-        call_until_limited(world_.first());
-        world::wait("reported requests", [this, &others] {
-            [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
+        call_until_limited(testbed_.first_server());
+        testbed::wait_until("reported requests", [this, &others] {
+            [[maybe_unused]] const auto answer =
+                testbed_.call("POST", "/plain/");
             std::size_t sends = 0;
             for (const wire::server_limits& said : others.limits()) {
                 for (const wire::server_limit& one : said.limits) {
-                    CPPUNIT_ASSERT_EQUAL(world_.first().id(), one.server);
+                    CPPUNIT_ASSERT_EQUAL(
+                        testbed_.first_server().id(), one.server);
                     CPPUNIT_ASSERT(one.limited);
                     CPPUNIT_ASSERT_EQUAL(50.0, one.per_second);
                     sends += one.sends;
@@ -217,40 +228,44 @@
 
     void test_an_answer_without_a_limit_lifts_it()
     {
-        world_.first().set_handler(answer_with_limit("4"));
-        world_.second().set_handler(answer_with_limit("4"));
-        world_.begin();
-        world::wait("both limits", [this] {
-            [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
-            return is_limited(world_.first()) && is_limited(world_.second());
+        testbed_.first_server().set_handler(answer_with_limit("4"));
+        testbed_.second_server().set_handler(answer_with_limit("4"));
+        testbed_.start();
+        testbed::wait_until("both limits", [this] {
+            [[maybe_unused]] const auto answer =
+                testbed_.call("POST", "/plain/");
+            return is_limited(testbed_.first_server()) &&
+                   is_limited(testbed_.second_server());
         });
-        world_.first().set_handler(answer_with_limit(""));
-        world_.second().set_handler(answer_with_limit(""));
-        world::wait("the lifting of both limits", [this] {
-            [[maybe_unused]] const auto answer = world_.call("POST", "/plain/");
-            return !is_limited(world_.first()) && !is_limited(world_.second());
+        testbed_.first_server().set_handler(answer_with_limit(""));
+        testbed_.second_server().set_handler(answer_with_limit(""));
+        testbed::wait_until("the lifting of both limits", [this] {
+            [[maybe_unused]] const auto answer =
+                testbed_.call("POST", "/plain/");
+            return !is_limited(testbed_.first_server()) &&
+                   !is_limited(testbed_.second_server());
         });
         for (int count = 0; count < 40; ++count)
-            CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+            CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
     void test_a_restart_lifts_the_limit()
     {
-        world_.first().set_handler(answer_with_limit("1"));
-        world_.begin();
-        world_.restart(world_.first());
-        call_until_limited(world_.first());
-        world_.first().set_handler(answer_with_limit(""));
-        world_.restart(world_.first());
-        CPPUNIT_ASSERT(!is_limited(world_.first()));
+        testbed_.first_server().set_handler(answer_with_limit("1"));
+        testbed_.start();
+        testbed_.restart(testbed_.first_server());
+        call_until_limited(testbed_.first_server());
+        testbed_.first_server().set_handler(answer_with_limit(""));
+        testbed_.restart(testbed_.first_server());
+        CPPUNIT_ASSERT(!is_limited(testbed_.first_server()));
     }
 
     void test_invalid_limits_are_ignored()
     {
-        world_.begin();
+        testbed_.start();
         for (const char* value :
              {"-1", "x", "1e99", "inf", "nan", "1,2", "", " ", "0x10"}) {
-            world_.first().set_handler(
+            testbed_.first_server().set_handler(
                 [value](http::exchange& asked) -> asio::awaitable<void> {
                     http::response whole =
                         fake_server::signed_response(asked, 200, "hello");
@@ -260,11 +275,11 @@
                 });
             for (int count = 0; count < 6; ++count)
                 CPPUNIT_ASSERT_EQUAL(
-                    200U, world_.call("POST", "/plain/").status);
-            CPPUNIT_ASSERT(!is_limited(world_.first()));
+                    200U, testbed_.call("POST", "/plain/").status);
+            CPPUNIT_ASSERT(!is_limited(testbed_.first_server()));
         }
         // A repeated field is invalid.
-        world_.first().set_handler(
+        testbed_.first_server().set_handler(
             [](http::exchange& asked) -> asio::awaitable<void> {
                 http::response whole =
                     fake_server::signed_response(asked, 200, "hello");
@@ -274,10 +289,10 @@
                     co_await asked.respond(std::move(whole));
             });
         for (int count = 0; count < 6; ++count)
-            CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
-        CPPUNIT_ASSERT(!is_limited(world_.first()));
+            CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT(!is_limited(testbed_.first_server()));
         CPPUNIT_ASSERT(
-            world_.ask_operators("/metrics")
+            testbed_.get_operator_page("/metrics")
                 .body.find("godwit_refused_limits_total") != std::string::npos);
     }
 };
--- a/tests/platform_adapter/suspended_host_test.cpp
+++ b/tests/platform_adapter/suspended_host_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using namespace godwit;
-using platform_adapter::test::world;
+using platform_adapter::test::testbed;
 
 class suspended_host_test : public CppUnit::TestFixture
 {
@@ -26,18 +26,18 @@
     CPPUNIT_TEST(test_without_its_store_it_serves_on);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     /// The status of a request that arrives while the host is suspended.
     unsigned status_after_suspension(
         const std::string& key, const std::function<void()>& meanwhile)
     {
         std::future<unsigned> status;
-        world_.suspend(std::chrono::seconds(30), [&] {
-            world_.store().drop_open_reads();
+        testbed_.suspend(std::chrono::seconds(30), [&] {
+            testbed_.store().drop_open_reads();
             meanwhile();
             status = std::async(std::launch::async, [this, &key] {
-                return world_.call("POST", "/plain/", key).status;
+                return testbed_.call("POST", "/plain/", key).status;
             });
             // Until its bytes are there.
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
@@ -47,25 +47,25 @@
 
     void begin_with_key(const std::string& key)
     {
-        world_.begin();
-        world_.publish(2, key);
-        world::wait(
-            "version 2", [this] { return world_.table_version() == 2; });
+        testbed_.start();
+        testbed_.publish(2, key);
+        testbed::wait_until(
+            "version 2", [this] { return testbed_.table_version() == 2; });
     }
 
     void test_a_key_that_was_dropped_meanwhile_is_unknown()
     {
         begin_with_key("k2");
         const unsigned status =
-            status_after_suspension("k2", [this] { world_.publish(3); });
+            status_after_suspension("k2", [this] { testbed_.publish(3); });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 
     void test_a_key_that_was_added_meanwhile_is_known()
     {
         begin_with_key("k2");
-        const unsigned status =
-            status_after_suspension("k3", [this] { world_.publish(3, "k3"); });
+        const unsigned status = status_after_suspension(
+            "k3", [this] { testbed_.publish(3, "k3"); });
         CPPUNIT_ASSERT_EQUAL(200U, status);
     }
 
@@ -85,27 +85,27 @@
     {
         begin_with_key("k2");
         const unsigned status = status_after_suspension("k2", [this] {
-            world_.store().put("keyed.op", "config", large_table(3));
+            testbed_.store().put("keyed.op", "config", large_table(3));
         });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 
     void test_a_server_that_left_meanwhile_gets_nothing()
     {
-        world_.begin();
-        const std::size_t before = world_.second().count("/plain/");
+        testbed_.start();
+        const std::size_t before = testbed_.second_server().count("/plain/");
         std::vector<std::future<unsigned>> others;
         const unsigned status = status_after_suspension("k1", [this, &others] {
-            world_.store().put("keyed.servers", "i-2", std::nullopt);
+            testbed_.store().put("keyed.servers", "i-2", std::nullopt);
             for (int count = 0; count < 8; ++count)
                 others.push_back(std::async(std::launch::async, [this] {
-                    return world_.call("POST", "/plain/").status;
+                    return testbed_.call("POST", "/plain/").status;
                 }));
         });
         CPPUNIT_ASSERT_EQUAL(200U, status);
         for (auto& other : others)
             CPPUNIT_ASSERT_EQUAL(200U, other.get());
-        CPPUNIT_ASSERT_EQUAL(before, world_.second().count("/plain/"));
+        CPPUNIT_ASSERT_EQUAL(before, testbed_.second_server().count("/plain/"));
     }
 
     void test_without_its_store_it_serves_on()
@@ -113,7 +113,7 @@
         begin_with_key("k2");
         constexpr unsigned unavailable = 503;
         const unsigned status = status_after_suspension(
-            "k2", [this] { world_.store().set_status(unavailable); });
+            "k2", [this] { testbed_.store().set_status(unavailable); });
         CPPUNIT_ASSERT_EQUAL(200U, status);
     }
 };
--- a/tests/platform_adapter/table_changes_test.cpp
+++ b/tests/platform_adapter/table_changes_test.cpp
@@ -19,7 +19,7 @@
 using namespace godwit;
 using platform_adapter::test::fake_neighbours;
 using platform_adapter::test::table_text;
-using platform_adapter::test::world;
+using platform_adapter::test::testbed;
 
 constexpr std::size_t most_bytes_a_small_change = 1024;
 
@@ -61,9 +61,9 @@
     CPPUNIT_TEST(test_a_host_of_an_earlier_release_gets_the_text);
     CPPUNIT_TEST_SUITE_END();
 
-    static void await_version(world& tested, std::uint64_t version)
+    static void await_version(testbed& tested, std::uint64_t version)
     {
-        world::wait("the version", [&tested, version] {
+        testbed::wait_until("the version", [&tested, version] {
             return tested.table_version() == version;
         });
     }
@@ -71,8 +71,8 @@
     void test_a_host_takes_what_changed()
     {
         ahead newer;
-        world tested;
-        tested.begin_without_store();
+        testbed tested;
+        tested.start_without_store();
         fake_neighbours others(
             1, tested.neighbours(), [&newer](const wire::pull& asked) {
                 return newer.answer(asked);
@@ -88,8 +88,8 @@
     void test_false_changes_are_followed_by_the_whole_table()
     {
         ahead newer;
-        world tested;
-        tested.begin_without_store();
+        testbed tested;
+        tested.start_without_store();
         fake_neighbours others(
             1, tested.neighbours(), [&newer](const wire::pull& asked) {
                 wire::table_changes changes = newer.answer(asked);
@@ -108,15 +108,15 @@
     static wire::message told(fake_neighbours& others, wire::pull question)
     {
         others.broadcast(question);
-        world::wait(
+        testbed::wait_until(
             "a table", [&others] { return !others.table_messages().empty(); });
         return others.table_messages().front();
     }
 
     void test_a_host_tells_what_changed()
     {
-        world tested;
-        tested.begin();
+        testbed tested;
+        tested.start();
         tested.publish(2, "k2");
         await_version(tested, 2);
         fake_neighbours others(1, tested.neighbours(), [](const wire::pull&) {
@@ -133,8 +133,8 @@
 
     void test_a_host_of_an_earlier_release_gets_the_text()
     {
-        world tested;
-        tested.begin();
+        testbed tested;
+        tested.start();
         fake_neighbours others(1, tested.neighbours(), [](const wire::pull&) {
             return std::nullopt;
         });
--- a/tests/platform_adapter/table_questions_test.cpp
+++ b/tests/platform_adapter/table_questions_test.cpp
@@ -22,7 +22,7 @@
 
 using namespace godwit;
 using platform_adapter::test::fake_neighbours;
-using platform_adapter::test::world;
+using platform_adapter::test::testbed;
 
 constexpr std::size_t neighbours = 8;
 
@@ -46,11 +46,11 @@
 
     void test_one_neighbour_sends_the_table()
     {
-        world tested;
-        tested.begin_without_store();
+        testbed tested;
+        tested.start_without_store();
         fake_neighbours others(neighbours, tested.neighbours(), &table);
         others.announce_table_version(2);
-        world::wait(
+        testbed::wait_until(
             "version 2", [&tested] { return tested.table_version() == 2; });
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.pull_receivers().size());
@@ -58,19 +58,19 @@
 
     void test_another_neighbour_is_asked_when_one_is_silent()
     {
-        world tested;
-        tested.begin_without_store();
+        testbed tested;
+        tested.start_without_store();
         fake_neighbours others(
             neighbours, tested.neighbours(), [](const wire::pull&) {
                 return std::nullopt;
             });
         others.announce_table_version(2);
-        world::wait("a question", [&others] {
+        testbed::wait_until("a question", [&others] {
             return !others.pull_receivers().empty();
         });
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.pull_receivers().size());
-        world::wait("another question", [&others] {
+        testbed::wait_until("another question", [&others] {
             return others.pull_receivers().size() > 1;
         });
         const auto asked = others.pull_receivers();
@@ -80,8 +80,8 @@
     static unsigned
     status_amid_announcement(fake_neighbours::pull_handler answer)
     {
-        world tested;
-        tested.begin_without_store();
+        testbed tested;
+        tested.start_without_store();
         fake_neighbours others(
             neighbours, tested.neighbours(), std::move(answer));
         others.announce_table_version(2);
--- a/tests/platform_adapter/world.cpp
+++ b/tests/platform_adapter/world.cpp
@@ -109,138 +109,138 @@
     }
 }
 
-world::world() : outside_work_(asio::make_work_guard(outside_))
+testbed::testbed() : platform_work_(asio::make_work_guard(platform_context_))
 {
-    store_ = std::make_unique<fake_store>(outside_);
-    first_ = std::make_unique<fake_server>(outside_, "i-1");
-    second_ = std::make_unique<fake_server>(outside_, "i-2");
-    process_ = start_process(inside_, {});
+    store_ = std::make_unique<fake_store>(platform_context_);
+    first_ = std::make_unique<fake_server>(platform_context_, "i-1");
+    second_ = std::make_unique<fake_server>(platform_context_, "i-2");
+    process_ = start_process(host_context_, {});
     sources_ = std::make_unique<platform_sources>(
-        inside_.get_executor(), store_->address(), *process_);
+        host_context_.get_executor(), store_->address(), *process_);
     process_->start();
     sources_->start();
-    outside_thread_ = std::thread([this] { outside_.run(); });
-    inside_thread_ = std::thread([this] { inside_.run(); });
+    platform_thread_ = std::thread([this] { platform_context_.run(); });
+    host_thread_ = std::thread([this] { host_context_.run(); });
 }
 
-world::~world()
+testbed::~testbed()
 {
-    inside_.stop();
-    inside_thread_.join();
-    outside_.stop();
-    outside_thread_.join();
+    host_context_.stop();
+    host_thread_.join();
+    platform_context_.stop();
+    platform_thread_.join();
 }
 
-void world::start_sources_again()
+void testbed::restart_sources()
 {
-    look<bool>([this](entry::entry_process& process) {
-        later_sources_ = std::make_unique<platform_sources>(
-            inside_.get_executor(), store_->address(), process);
-        later_sources_->start();
+    run_on_host<bool>([this](entry::entry_process& process) {
+        restarted_sources_ = std::make_unique<platform_sources>(
+            host_context_.get_executor(), store_->address(), process);
+        restarted_sources_->start();
         return true;
     });
 }
 
-void world::publish(unsigned version, const std::string& extra_key)
+void testbed::publish(unsigned version, const std::string& extra_key)
 {
     store_->put("keyed.op", "config", table_text(version, extra_key, hold_ms_));
 }
 
 fake_store::rewritten_record
-world::table_record(unsigned version, const std::string& extra_key) const
+testbed::table_record(unsigned version, const std::string& extra_key) const
 {
     return {"keyed.op", "config", table_text(version, extra_key, hold_ms_)};
 }
 
-void world::list(fake_server& server, const std::string& state)
+void testbed::register_server(fake_server& server, const std::string& state)
 {
     store_->put(
         "keyed.servers", server.id(), server.record(state, ++sequence_));
     const placement::server_id id(server.id());
     const bool is_ready = state == "ready";
-    wait("the list", [this, &id, is_ready] {
-        return look<bool>([&id](entry::entry_process& process) {
+    wait_until("the list", [this, &id, is_ready] {
+        return run_on_host<bool>([&id](entry::entry_process& process) {
                    return process.context().directory.is_usable(id);
                }) == is_ready;
     });
 }
 
-void world::restart(fake_server& server)
+void testbed::restart(fake_server& server)
 {
     server.restart(++started_at_ms_);
-    list(server, "ready");
+    register_server(server, "ready");
     const placement::server_id id(server.id());
     const placement::server_start start{started_at_ms_};
-    wait("the server's new start", [this, &id, &start] {
-        return look<bool>([&id, &start](entry::entry_process& process) {
+    wait_until("the server's new start", [this, &id, &start] {
+        return run_on_host<bool>([&id, &start](entry::entry_process& process) {
             return process.context().directory.find(id)->start == start;
         });
     });
 }
 
-void world::begin()
+void testbed::start()
 {
     publish(1);
-    list(*first_, "ready");
-    list(*second_, "ready");
-    wait("readiness", [this] { return is_ready(); });
+    register_server(*first_, "ready");
+    register_server(*second_, "ready");
+    wait_until("readiness", [this] { return is_ready(); });
 }
 
-void world::begin_with_first()
+void testbed::start_with_first_server()
 {
     publish(1);
-    list(*first_, "ready");
-    wait("readiness", [this] { return is_ready(); });
+    register_server(*first_, "ready");
+    wait_until("readiness", [this] { return is_ready(); });
 }
 
-void world::begin_without_store()
+void testbed::start_without_store()
 {
     constexpr unsigned unavailable = 503;
-    begin();
+    start();
     store_->set_status(unavailable);
 }
 
-std::uint64_t world::arriving_at(const fake_server& server)
+std::uint64_t testbed::arriving_tokens_at(const fake_server& server)
 {
     const placement::server_id id(server.id());
-    return look<std::uint64_t>([&id](entry::entry_process& process) {
+    return run_on_host<std::uint64_t>([&id](entry::entry_process& process) {
         return process.context()
             .ledger.at(id, core::monotonic_now())
             .arriving_tokens;
     });
 }
 
-http::endpoint world::callers() const
+http::endpoint testbed::callers() const
 {
     return process_->context().settings.callers;
 }
 
-http::endpoint world::neighbours() const
+http::endpoint testbed::neighbours() const
 {
     return process_->context().settings.neighbours;
 }
 
-std::uint64_t world::table_version()
+std::uint64_t testbed::table_version()
 {
-    return look<std::uint64_t>([](entry::entry_process& process) {
+    return run_on_host<std::uint64_t>([](entry::entry_process& process) {
         const auto& routes = process.context().routes;
         return routes ? routes->version() : 0;
     });
 }
 
-bool world::is_ready()
+bool testbed::is_ready()
 {
-    return look<bool>(
+    return run_on_host<bool>(
         [](entry::entry_process& process) { return process.is_ready(); });
 }
 
-http::response world::call(
+http::response testbed::call(
     const std::string& method, const std::string& path, const std::string& key)
 {
     return send(callers(), request_for(method, path, key, token_usage_));
 }
 
-std::optional<http::response> world::stream_unless_cut()
+std::optional<http::response> testbed::try_stream()
 {
     try {
         return call("POST", "/stream/");
@@ -249,7 +249,7 @@
     }
 }
 
-std::optional<http::response> world::call_unless_cut(
+std::optional<http::response> testbed::try_call(
     const std::string& path, const std::string& body, const std::string& key)
 {
     http::request request = request_for("POST", path, key, token_usage_);
@@ -261,30 +261,30 @@
     }
 }
 
-void world::call_and_leave(const std::string& path, int after_ms)
+void testbed::call_and_disconnect(const std::string& path, int after_ms)
 {
     const http::fetch_limits limits{
         .deadline = std::chrono::milliseconds(after_ms)};
     auto answered = asio::co_spawn(
-        outside_,
+        platform_context_,
         http::fetch(
             callers(), request_for("POST", path, "k1", token_usage_), limits),
         asio::use_future);
     CPPUNIT_ASSERT(!answered.get());
 }
 
-http::response world::ask_operators(const std::string& page)
+http::response testbed::get_operator_page(const std::string& page)
 {
     return send(
         process_->context().settings.operators,
         http::request{"GET", page, {}, {}});
 }
 
-http::response world::send(const http::endpoint& to, http::request request)
+http::response testbed::send(const http::endpoint& to, http::request request)
 {
     const http::fetch_limits limits{.deadline = std::chrono::seconds(10)};
     auto answered = asio::co_spawn(
-        outside_,
+        platform_context_,
         http::fetch(to, std::move(request), limits),
         asio::use_future);
     auto answer = answered.get();
@@ -293,7 +293,7 @@
     return *answer;
 }
 
-void world::wait(
+void testbed::wait_until(
     const std::string& what, const std::function<bool()>& condition)
 {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(5);
@@ -306,10 +306,10 @@
 
 // The host's one thread stands still meanwhile. The clocks jump first, since
 // the others in this process have deadlines of their own.
-void world::suspend(
+void testbed::suspend(
     std::chrono::seconds span, const std::function<void()>& meanwhile)
 {
-    look<bool>([span, &meanwhile](entry::entry_process&) {
+    run_on_host<bool>([span, &meanwhile](entry::entry_process&) {
         godwit::test::suspend_for(span);
         meanwhile();
         return true;
@@ -317,19 +317,22 @@
 }
 
 template<class Value>
-Value world::look(const std::function<Value(entry::entry_process&)>& look)
+Value testbed::run_on_host(
+    const std::function<Value(entry::entry_process&)>& function)
 {
     std::promise<Value> seen;
-    asio::post(
-        inside_, [this, &seen, &look] { seen.set_value(look(*process_)); });
+    asio::post(host_context_, [this, &seen, &function] {
+        seen.set_value(function(*process_));
+    });
     return seen.get_future().get();
 }
 
-template bool
-world::look<bool>(const std::function<bool(entry::entry_process&)>& look);
-template entry::entry_settings world::look<entry::entry_settings>(
-    const std::function<entry::entry_settings(entry::entry_process&)>& look);
-template std::uint64_t world::look<std::uint64_t>(
-    const std::function<std::uint64_t(entry::entry_process&)>& look);
+template bool testbed::run_on_host<bool>(
+    const std::function<bool(entry::entry_process&)>& function);
+template entry::entry_settings testbed::run_on_host<entry::entry_settings>(
+    const std::function<entry::entry_settings(entry::entry_process&)>&
+        function);
+template std::uint64_t testbed::run_on_host<std::uint64_t>(
+    const std::function<std::uint64_t(entry::entry_process&)>& function);
 
 } // namespace godwit::platform_adapter::test
--- a/tests/platform_adapter/world.hpp
+++ b/tests/platform_adapter/world.hpp
@@ -32,28 +32,28 @@
 
 /// An entry host with a store and two servers of the service "lm", each on
 /// threads of their own: the outside on one, the entry host on another.
-class world
+class testbed
 {
 public:
-    world();
-    ~world();
+    testbed();
+    ~testbed();
 
-    world(const world&) = delete;
-    world& operator=(const world&) = delete;
+    testbed(const testbed&) = delete;
+    testbed& operator=(const testbed&) = delete;
 
     fake_store& store() { return *store_; }
 
     /// Follows the store's topics once more, as after a new start of the
     /// process under its name.
-    void start_sources_again();
+    void restart_sources();
 
-    fake_server& first() { return *first_; }
+    fake_server& first_server() { return *first_; }
 
-    fake_server& second() { return *second_; }
+    fake_server& second_server() { return *second_; }
 
     /// From the next version on engines keep room for requests, for at most
     /// so many milliseconds.
-    void offer_holds(unsigned longest_ms) { hold_ms_ = longest_ms; }
+    void enable_holds(unsigned longest_ms) { hold_ms_ = longest_ms; }
 
     /// Later requests say that they have so many prompt tokens, and write so
     /// many at the most: "prompt,most".
@@ -67,21 +67,21 @@
     table_record(unsigned version, const std::string& extra_key = "") const;
 
     /// Lists the server so, and waits until the entry host believes it.
-    void list(fake_server& server, const std::string& state);
+    void register_server(fake_server& server, const std::string& state);
 
     /// Lists the server with a new start time, and waits until the entry host
     /// has it.
     void restart(fake_server& server);
 
     /// Publishes version 1, lists both servers and waits until ready.
-    void begin();
+    void start();
 
     /// The same, and from then on only neighbours bring what is newer: the
     /// store answers nobody.
-    void begin_without_store();
+    void start_without_store();
 
-    /// As `begin`, but lists only the first server.
-    void begin_with_first();
+    /// As `start`, but lists only the first server.
+    void start_with_first_server();
 
     /// Sends a request with the key "k1" and the id "a1".
     [[nodiscard]] http::response call(
@@ -90,22 +90,22 @@
         const std::string& key = "k1");
 
     /// What a caller of the stream gets; nothing if it was cut.
-    [[nodiscard]] std::optional<http::response> stream_unless_cut();
+    [[nodiscard]] std::optional<http::response> try_stream();
 
     /// Sends a POST request with this body; nothing if the answer was cut.
-    [[nodiscard]] std::optional<http::response> call_unless_cut(
+    [[nodiscard]] std::optional<http::response> try_call(
         const std::string& path,
         const std::string& body,
         const std::string& key = "k1");
 
     /// Sends the same request and closes the connection after so long.
-    void call_and_leave(const std::string& path, int after_ms);
+    void call_and_disconnect(const std::string& path, int after_ms);
 
     /// Asks for a page on the operators' address.
-    [[nodiscard]] http::response ask_operators(const std::string& page);
+    [[nodiscard]] http::response get_operator_page(const std::string& page);
 
     /// Memory that the entry host believes to be on its way to the server.
-    [[nodiscard]] std::uint64_t arriving_at(const fake_server& server);
+    [[nodiscard]] std::uint64_t arriving_tokens_at(const fake_server& server);
 
     /// Where callers connect.
     [[nodiscard]] http::endpoint callers() const;
@@ -126,28 +126,29 @@
 
     /// Waits until `condition` holds; fails the test after five seconds.
     static void
-    wait(const std::string& what, const std::function<bool()>& condition);
+    wait_until(const std::string& what, const std::function<bool()>& condition);
 
-    /// Runs `look` on the entry host's thread.
+    /// Runs `run_on_host` on the entry host's thread.
     template<class Value>
-    Value look(const std::function<Value(entry::entry_process&)>& look);
+    Value
+    run_on_host(const std::function<Value(entry::entry_process&)>& function);
 
 private:
     [[nodiscard]] http::response
     send(const http::endpoint& to, http::request request);
 
-    boost::asio::io_context outside_{1};
-    boost::asio::io_context inside_{1};
+    boost::asio::io_context platform_context_{1};
+    boost::asio::io_context host_context_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
-        outside_work_;
+        platform_work_;
     std::unique_ptr<fake_store> store_;
     std::unique_ptr<fake_server> first_;
     std::unique_ptr<fake_server> second_;
     std::unique_ptr<entry::entry_process> process_;
     std::unique_ptr<platform_sources> sources_;
-    std::unique_ptr<platform_sources> later_sources_;
-    std::thread outside_thread_;
-    std::thread inside_thread_;
+    std::unique_ptr<platform_sources> restarted_sources_;
+    std::thread platform_thread_;
+    std::thread host_thread_;
     unsigned sequence_ = 0;
     std::uint64_t started_at_ms_ = 0;
     unsigned hold_ms_ = 0;
--- a/tests/platform_adapter/world_test.cpp
+++ b/tests/platform_adapter/world_test.cpp
@@ -63,18 +63,18 @@
     CPPUNIT_TEST(test_settings_that_cannot_be_read_change_nothing);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     void test_a_call_reaches_a_server_and_its_answer_the_caller()
     {
-        world_.begin();
-        const auto answer = world_.call("POST", "/plain/7?x=1");
+        testbed_.start();
+        const auto answer = testbed_.call("POST", "/plain/7?x=1");
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
         CPPUNIT_ASSERT_EQUAL(std::string("hello"), answer.body);
         CPPUNIT_ASSERT(answer.fields.find("X-Godwitworks-Replica-Signature"));
         const std::string target = "/plain/7?x=1";
-        auto sent = world_.first().received();
-        const auto others = world_.second().received();
+        auto sent = testbed_.first_server().received();
+        const auto others = testbed_.second_server().received();
         sent.insert(sent.end(), others.begin(), others.end());
         std::erase_if(sent, [&target](const http::request& one) {
             return one.target != target;
@@ -89,35 +89,36 @@
 
     void test_routes_and_keys()
     {
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(404U, world_.call("GET", "/none/").status);
-        CPPUNIT_ASSERT_EQUAL(401U, world_.call("GET", "/plain/", "x").status);
-        CPPUNIT_ASSERT_EQUAL(401U, world_.call("GET", "/plain/", "").status);
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(404U, testbed_.call("GET", "/none/").status);
+        CPPUNIT_ASSERT_EQUAL(401U, testbed_.call("GET", "/plain/", "x").status);
+        CPPUNIT_ASSERT_EQUAL(401U, testbed_.call("GET", "/plain/", "").status);
     }
 
     void test_without_a_table_nothing_is_refused_for_good()
     {
-        const auto answer = world_.call("GET", "/none/");
+        const auto answer = testbed_.call("GET", "/none/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
         CPPUNIT_ASSERT(answer.fields.find("Retry-After"));
-        CPPUNIT_ASSERT(!world_.is_ready());
+        CPPUNIT_ASSERT(!testbed_.is_ready());
     }
 
     void test_a_rejected_request_goes_to_another_server()
     {
-        world_.first().set_handler(answers(503, ""));
-        world_.begin();
+        testbed_.first_server().set_handler(answers(503, ""));
+        testbed_.start();
         for (int count = 0; count < 6; ++count)
-            CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{6}, world_.second().count("/plain/"));
+            CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{6}, testbed_.second_server().count("/plain/"));
     }
 
     void test_a_request_that_all_reject_has_not_run()
     {
-        world_.first().set_handler(answers(503, ""));
-        world_.second().set_handler(answers(503, ""));
-        world_.begin();
-        const auto answer = world_.call("POST", "/plain/");
+        testbed_.first_server().set_handler(answers(503, ""));
+        testbed_.second_server().set_handler(answers(503, ""));
+        testbed_.start();
+        const auto answer = testbed_.call("POST", "/plain/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
         CPPUNIT_ASSERT(answer.fields.find("Retry-After"));
         CPPUNIT_ASSERT(answer.body.find("not_run") != std::string::npos);
@@ -129,13 +130,14 @@
             asked.cut();
             co_return;
         };
-        world_.first().set_handler(lose);
-        world_.second().set_handler(lose);
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(502U, world_.call("POST", "/plain/").status);
+        testbed_.first_server().set_handler(lose);
+        testbed_.second_server().set_handler(lose);
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(502U, testbed_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1},
-            world_.first().count("/plain/") + world_.second().count("/plain/"));
+            testbed_.first_server().count("/plain/") +
+                testbed_.second_server().count("/plain/"));
     }
 
     // Its route allows three servers; it did run at the first one.
@@ -146,38 +148,40 @@
             co_return;
         };
         for (const bool is_lost : {false, true}) {
-            world_.first().set_handler(
+            testbed_.first_server().set_handler(
                 is_lost ? fake_server::request_handler(lose)
                         : answers(500, "no"));
-            world_.second().set_handler(
+            testbed_.second_server().set_handler(
                 is_lost ? fake_server::request_handler(lose)
                         : answers(500, "no"));
             if (!is_lost)
-                world_.begin();
-            const std::size_t before = world_.first().count("/once/") +
-                                       world_.second().count("/once/");
+                testbed_.start();
+            const std::size_t before = testbed_.first_server().count("/once/") +
+                                       testbed_.second_server().count("/once/");
             CPPUNIT_ASSERT_EQUAL(
-                is_lost ? 502U : 500U, world_.call("POST", "/once/").status);
+                is_lost ? 502U : 500U, testbed_.call("POST", "/once/").status);
             CPPUNIT_ASSERT_EQUAL(
                 before + 1,
-                world_.first().count("/once/") +
-                    world_.second().count("/once/"));
+                testbed_.first_server().count("/once/") +
+                    testbed_.second_server().count("/once/"));
         }
     }
 
     void test_a_failure_is_repeated_once_where_it_may_be()
     {
-        world_.first().set_handler(answers(500, "no"));
-        world_.second().set_handler(answers(500, "no"));
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(500U, world_.call("POST", "/plain/").status);
-        CPPUNIT_ASSERT_EQUAL(500U, world_.call("GET", "/again/").status);
+        testbed_.first_server().set_handler(answers(500, "no"));
+        testbed_.second_server().set_handler(answers(500, "no"));
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(500U, testbed_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT_EQUAL(500U, testbed_.call("GET", "/again/").status);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{2},
-            world_.first().count("/again/") + world_.second().count("/again/"));
+            testbed_.first_server().count("/again/") +
+                testbed_.second_server().count("/again/"));
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1},
-            world_.first().count("/plain/") + world_.second().count("/plain/"));
+            testbed_.first_server().count("/plain/") +
+                testbed_.second_server().count("/plain/"));
     }
 
     // The answer that is there is the caller's; a repeat that brought nothing
@@ -197,10 +201,10 @@
             [[maybe_unused]] const auto said =
                 co_await asked.respond(std::move(failed));
         };
-        world_.first().set_handler(fail);
-        world_.second().set_handler(fail);
-        world_.begin();
-        const auto answer = world_.call("GET", "/again/");
+        testbed_.first_server().set_handler(fail);
+        testbed_.second_server().set_handler(fail);
+        testbed_.start();
+        const auto answer = testbed_.call("GET", "/again/");
         CPPUNIT_ASSERT_EQUAL(2, calls->load());
         CPPUNIT_ASSERT_EQUAL(500U, answer.status);
         CPPUNIT_ASSERT_EQUAL(std::string("its own words"), answer.body);
@@ -215,11 +219,11 @@
             [[maybe_unused]] const auto sent =
                 co_await asked.respond(std::move(whole));
         };
-        world_.first().set_handler(unsign);
-        world_.second().set_handler(unsign);
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(502U, world_.call("POST", "/plain/").status);
-        CPPUNIT_ASSERT_EQUAL(502U, world_.call("GET", "/stream/").status);
+        testbed_.first_server().set_handler(unsign);
+        testbed_.second_server().set_handler(unsign);
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(502U, testbed_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT_EQUAL(502U, testbed_.call("GET", "/stream/").status);
     }
 
     void test_an_answer_to_another_request_is_passed_over()
@@ -232,84 +236,88 @@
             [[maybe_unused]] const auto sent =
                 co_await asked.respond(std::move(other));
         };
-        world_.first().set_handler(confuse);
-        world_.second().set_handler(confuse);
-        world_.begin();
+        testbed_.first_server().set_handler(confuse);
+        testbed_.second_server().set_handler(confuse);
+        testbed_.start();
         // The own answer never comes; the other one is not delivered.
-        const auto answer = world_.call("POST", "/plain/");
+        const auto answer = testbed_.call("POST", "/plain/");
         CPPUNIT_ASSERT(answer.status == 504U || answer.status == 502U);
         CPPUNIT_ASSERT(answer.body.find("other") == std::string::npos);
     }
 
     void test_a_newer_table_replaces_and_an_older_one_does_not()
     {
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(401U, world_.call("GET", "/plain/", "k2").status);
-        world_.publish(5, "k2");
-        world::wait(
-            "version 5", [this] { return world_.table_version() == 5; });
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("GET", "/plain/", "k2").status);
-        world_.publish(4);
-        world_.publish(6, "k3");
-        world::wait(
-            "version 6", [this] { return world_.table_version() == 6; });
-        CPPUNIT_ASSERT_EQUAL(401U, world_.call("GET", "/plain/", "k2").status);
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(
+            401U, testbed_.call("GET", "/plain/", "k2").status);
+        testbed_.publish(5, "k2");
+        testbed::wait_until(
+            "version 5", [this] { return testbed_.table_version() == 5; });
+        CPPUNIT_ASSERT_EQUAL(
+            200U, testbed_.call("GET", "/plain/", "k2").status);
+        testbed_.publish(4);
+        testbed_.publish(6, "k3");
+        testbed::wait_until(
+            "version 6", [this] { return testbed_.table_version() == 6; });
+        CPPUNIT_ASSERT_EQUAL(
+            401U, testbed_.call("GET", "/plain/", "k2").status);
     }
 
     void test_a_table_that_cannot_be_read_changes_nothing()
     {
-        world_.begin();
-        world_.store().put("keyed.op", "config", R"({"version":9,"routes":7)");
-        world_.store().put("keyed.op", "config", std::string(100000, '{'));
-        world_.store().put("keyed.servers", "i-3", "no server");
-        world_.publish(3, "k3");
-        world::wait(
-            "version 3", [this] { return world_.table_version() == 3; });
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("GET", "/plain/").status);
+        testbed_.start();
+        testbed_.store().put(
+            "keyed.op", "config", R"({"version":9,"routes":7)");
+        testbed_.store().put("keyed.op", "config", std::string(100000, '{'));
+        testbed_.store().put("keyed.servers", "i-3", "no server");
+        testbed_.publish(3, "k3");
+        testbed::wait_until(
+            "version 3", [this] { return testbed_.table_version() == 3; });
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("GET", "/plain/").status);
     }
 
     void test_a_store_that_is_away_changes_nothing()
     {
-        world_.begin();
+        testbed_.start();
         for (const unsigned status : {503U, 429U, 500U}) {
-            world_.store().set_status(status);
-            const unsigned before = world_.store().calls();
-            world::wait("calls", [this, before] {
-                return world_.store().calls() > before + 2;
+            testbed_.store().set_status(status);
+            const unsigned before = testbed_.store().calls();
+            testbed::wait_until("calls", [this, before] {
+                return testbed_.store().calls() > before + 2;
             });
-            CPPUNIT_ASSERT_EQUAL(200U, world_.call("GET", "/plain/").status);
-            CPPUNIT_ASSERT(world_.is_ready());
+            CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("GET", "/plain/").status);
+            CPPUNIT_ASSERT(testbed_.is_ready());
         }
-        world_.publish(2, "k2");
-        world_.store().set_status(0);
-        world::wait(
-            "version 2", [this] { return world_.table_version() == 2; });
+        testbed_.publish(2, "k2");
+        testbed_.store().set_status(0);
+        testbed::wait_until(
+            "version 2", [this] { return testbed_.table_version() == 2; });
     }
 
     // Each call that the store turns away has its price.
     void test_a_store_that_turns_away_is_asked_ever_more_seldom()
     {
-        world_.begin();
-        world_.store().set_status(503);
-        const unsigned before = world_.store().calls();
+        testbed_.start();
+        testbed_.store().set_status(503);
+        const unsigned before = testbed_.store().calls();
         std::this_thread::sleep_for(std::chrono::milliseconds(2500));
         // Three topics, each asked after 0.2, 0.4, 0.8 and 1 s.
-        CPPUNIT_ASSERT(world_.store().calls() - before <= 18);
-        world_.publish(3);
-        world_.store().set_status(0);
-        world::wait(
-            "version 3", [this] { return world_.table_version() == 3; });
+        CPPUNIT_ASSERT(testbed_.store().calls() - before <= 18);
+        testbed_.publish(3);
+        testbed_.store().set_status(0);
+        testbed::wait_until(
+            "version 3", [this] { return testbed_.table_version() == 3; });
     }
 
     void test_history_that_is_dropped_is_read_anew()
     {
-        world_.begin();
-        world_.store().set_status(503);
-        world_.publish(8);
-        world_.store().compact();
-        world_.store().set_status(0);
-        world::wait(
-            "version 8", [this] { return world_.table_version() == 8; });
+        testbed_.start();
+        testbed_.store().set_status(503);
+        testbed_.publish(8);
+        testbed_.store().compact();
+        testbed_.store().set_status(0);
+        testbed::wait_until(
+            "version 8", [this] { return testbed_.table_version() == 8; });
     }
 
     void test_a_stream_arrives_whole()
@@ -324,10 +332,10 @@
             }
             sent = co_await asked.finish_stream();
         };
-        world_.first().set_handler(stream);
-        world_.second().set_handler(stream);
-        world_.begin();
-        const auto answer = world_.call("POST", "/stream/");
+        testbed_.first_server().set_handler(stream);
+        testbed_.second_server().set_handler(stream);
+        testbed_.start();
+        const auto answer = testbed_.call("POST", "/stream/");
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), answer.body);
     }
@@ -357,24 +365,26 @@
 
     void begin_with_holds(unsigned at_first, unsigned at_second)
     {
-        world_.offer_holds(2000);
-        world_.first().set_handler(keeps_room(at_first));
-        world_.second().set_handler(keeps_room(at_second));
-        world_.begin();
+        testbed_.enable_holds(2000);
+        testbed_.first_server().set_handler(keeps_room(at_first));
+        testbed_.second_server().set_handler(keeps_room(at_second));
+        testbed_.start();
     }
 
     // It has not run there, and its server is nearer than the other one.
     void test_a_stream_that_is_rejected_goes_to_another_server()
     {
-        world_.first().set_handler(answers(503, ""));
-        world_.second().set_handler(keeps_room(200));
-        world_.second().set_zone("west");
-        world_.begin();
-        const auto answer = world_.call("POST", "/stream/");
+        testbed_.first_server().set_handler(answers(503, ""));
+        testbed_.second_server().set_handler(keeps_room(200));
+        testbed_.second_server().set_zone("west");
+        testbed_.start();
+        const auto answer = testbed_.call("POST", "/stream/");
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
         CPPUNIT_ASSERT_EQUAL(event(1), answer.body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world_.first().count("/stream/"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, testbed_.first_server().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{1}, testbed_.second_server().count("/stream/"));
     }
 
     // The first server is full, whatever this host believes of it.
@@ -383,9 +393,10 @@
         begin_with_holds(503, 200);
         for (int count = 0; count < 4; ++count)
             CPPUNIT_ASSERT_EQUAL(
-                event(1), world_.call("POST", "/stream/").body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.first().count("/stream/"));
-        for (const http::request& one : world_.second().received()) {
+                event(1), testbed_.call("POST", "/stream/").body);
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.first_server().count("/stream/"));
+        for (const http::request& one : testbed_.second_server().received()) {
             if (one.target != "/stream/")
                 continue;
             CPPUNIT_ASSERT(one.fields.find("X-Godwitworks-Hold") == "q7");
@@ -396,22 +407,23 @@
     // It would be chosen again: it is nearer than the other one.
     void test_a_server_that_keeps_no_room_is_asked_once()
     {
-        world_.second().set_zone("west");
+        testbed_.second_server().set_zone("west");
         begin_with_holds(503, 200);
-        CPPUNIT_ASSERT_EQUAL(event(1), world_.call("POST", "/stream/").body);
+        CPPUNIT_ASSERT_EQUAL(event(1), testbed_.call("POST", "/stream/").body);
         CPPUNIT_ASSERT_EQUAL(
-            std::size_t{1}, world_.first().count("/api/hold-take"));
+            std::size_t{1}, testbed_.first_server().count("/api/hold-take"));
     }
 
     // Without holds the engine's own queue keeps the order.
     void test_without_holds_the_priority_is_passed_on()
     {
-        world_.first().set_handler(keeps_room(200));
-        world_.second().set_handler(keeps_room(200));
-        world_.begin();
-        (void)world_.call("POST", "/stream/");
+        testbed_.first_server().set_handler(keeps_room(200));
+        testbed_.second_server().set_handler(keeps_room(200));
+        testbed_.start();
+        (void)testbed_.call("POST", "/stream/");
         std::size_t count = 0;
-        for (auto* server : {&world_.first(), &world_.second()}) {
+        for (auto* server :
+             {&testbed_.first_server(), &testbed_.second_server()}) {
             for (const http::request& one : server->received())
                 count +=
                     one.fields.find("X-Godwitworks-Request-Priority") == "1"
@@ -424,11 +436,13 @@
     void test_a_stream_that_finds_no_room_has_not_run()
     {
         begin_with_holds(503, 503);
-        const auto answer = world_.call("POST", "/stream/");
+        const auto answer = testbed_.call("POST", "/stream/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
         CPPUNIT_ASSERT(answer.fields.find("Retry-After"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.first().count("/stream/"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.first_server().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
     // What was not sent cannot be lost: a hung server costs a moment only.
@@ -437,19 +451,20 @@
         begin_with_holds(0, 200);
         for (int count = 0; count < 4; ++count)
             CPPUNIT_ASSERT_EQUAL(
-                event(1), world_.call("POST", "/stream/").body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.first().count("/stream/"));
+                event(1), testbed_.call("POST", "/stream/").body);
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.first_server().count("/stream/"));
     }
 
     void test_a_server_without_holds_gets_the_stream()
     {
         begin_with_holds(404, 404);
-        CPPUNIT_ASSERT_EQUAL(event(1), world_.call("POST", "/stream/").body);
+        CPPUNIT_ASSERT_EQUAL(event(1), testbed_.call("POST", "/stream/").body);
     }
 
     void test_room_that_nobody_uses_is_given_back()
     {
-        world_.offer_holds(2000);
+        testbed_.enable_holds(2000);
         const auto slow = [](http::exchange& asked) -> asio::awaitable<void> {
             if (asked.received().target == "/api/hold-take")
                 co_await sleep(asked, 150);
@@ -458,17 +473,19 @@
             [[maybe_unused]] const auto said =
                 co_await asked.respond(std::move(kept));
         };
-        world_.first().set_handler(slow);
-        world_.second().set_handler(slow);
-        world_.begin();
-        world_.call_and_leave("/stream/", 50);
-        world::wait("the release", [this] {
-            return world_.first().count("/api/hold-drop/q7") +
-                       world_.second().count("/api/hold-drop/q7") ==
+        testbed_.first_server().set_handler(slow);
+        testbed_.second_server().set_handler(slow);
+        testbed_.start();
+        testbed_.call_and_disconnect("/stream/", 50);
+        testbed::wait_until("the release", [this] {
+            return testbed_.first_server().count("/api/hold-drop/q7") +
+                       testbed_.second_server().count("/api/hold-drop/q7") ==
                    1;
         });
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.first().count("/stream/"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.second().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.first_server().count("/stream/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
     void test_a_broken_stream_does_not_look_complete()
@@ -481,32 +498,33 @@
             co_await sleep(asked, 20);
             asked.cut();
         };
-        world_.first().set_handler(stream);
-        world_.second().set_handler(stream);
-        world_.begin();
+        testbed_.first_server().set_handler(stream);
+        testbed_.second_server().set_handler(stream);
+        testbed_.start();
         // `call` fails the test itself when the body is cut.
         CPPUNIT_ASSERT_THROW(
-            world_.call("POST", "/stream/"), CppUnit::Exception);
+            testbed_.call("POST", "/stream/"), CppUnit::Exception);
     }
 
     void test_a_leaving_server_gets_nothing_new()
     {
-        world_.begin();
-        world_.list(world_.first(), "draining");
+        testbed_.start();
+        testbed_.register_server(testbed_.first_server(), "draining");
         for (int count = 0; count < 10; ++count)
-            CPPUNIT_ASSERT_EQUAL(200U, world_.call("GET", "/plain/").status);
-        world_.store().put("keyed.servers", "i-2", std::nullopt);
-        world::wait("the second to leave", [this] {
-            return world_.call("GET", "/plain/").status == 503;
+            CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("GET", "/plain/").status);
+        testbed_.store().put("keyed.servers", "i-2", std::nullopt);
+        testbed::wait_until("the second to leave", [this] {
+            return testbed_.call("GET", "/plain/").status == 503;
         });
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.first().count("/plain/"));
+        CPPUNIT_ASSERT_EQUAL(
+            std::size_t{0}, testbed_.first_server().count("/plain/"));
     }
 
     void test_metrics_and_state_are_served()
     {
-        world_.begin();
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("GET", "/plain/").status);
-        const auto metrics = world_.ask_operators("/metrics").body;
+        testbed_.start();
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("GET", "/plain/").status);
+        const auto metrics = testbed_.get_operator_page("/metrics").body;
         const std::string completed =
             "godwit_requests_total{class=\"plain\",outcome=\"completed\","
             "service=\"lm\"} 1\n";
@@ -518,9 +536,9 @@
               std::string("# TYPE godwit_request_seconds histogram\n")})
             CPPUNIT_ASSERT_MESSAGE(
                 line, metrics.find(line) != std::string::npos);
-        const auto state = world_.ask_operators("/state").body;
+        const auto state = testbed_.get_operator_page("/state").body;
         CPPUNIT_ASSERT(state.find("\"table_version\":1") != std::string::npos);
-        CPPUNIT_ASSERT_EQUAL(404U, world_.ask_operators("/none").status);
+        CPPUNIT_ASSERT_EQUAL(404U, testbed_.get_operator_page("/none").status);
     }
 
     using reading = core::result<entry::entry_settings>;
@@ -529,7 +547,7 @@
     entry::entry_settings
     reload(const std::function<reading(entry::entry_settings)>& change)
     {
-        return world_.look<entry::entry_settings>(
+        return testbed_.run_on_host<entry::entry_settings>(
             [&change](entry::entry_process& process) {
                 process.set_settings_reader(
                     [&change, now = process.context().settings] {
@@ -543,7 +561,7 @@
 
     void test_changed_settings_are_taken_over()
     {
-        world_.begin();
+        testbed_.start();
         const auto before = reload([](const auto& same) { return same; });
         const auto after = reload([](entry::entry_settings file) -> reading {
             file.stop_grace = std::chrono::seconds(3);
@@ -555,12 +573,12 @@
         CPPUNIT_ASSERT_EQUAL(0.5, after.retry_share);
         // A name cannot change while the process runs.
         CPPUNIT_ASSERT(after.host == before.host);
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/").status);
+        CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
     void test_settings_that_cannot_be_read_change_nothing()
     {
-        world_.begin();
+        testbed_.start();
         const auto before = reload([](const auto& same) { return same; });
         const auto after = reload([](const entry::entry_settings&) -> reading {
             return core::fail(
