--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -71,8 +71,8 @@
                 next.write({listing::ready, next.now_.sequence + 1});
             });
         made.add(is_lost(), [](auto& next) { next.write(next.now_); });
-        made.add(store_.copied < store_.log.size(), [](auto& next) {
-            next.store_.copied = next.store_.log.size();
+        made.add(store_.backed_up < store_.log.size(), [](auto& next) {
+            next.store_.backed_up = next.store_.log.size();
         });
         made.add(store_.epoch < last_epoch, [](auto& next) {
             next.store_.restore();
@@ -88,7 +88,7 @@
         return made.take();
     }
 
-    [[nodiscard]] std::string broken() const
+    [[nodiscard]] std::string violation() const
     {
         for (const host_model& host : hosts_) {
             if (host.used_after_leaving)
@@ -180,7 +180,7 @@
             [this, &host] { host.outage.record_restore(at_ms(time_ms_)); },
             [this, &host](const auto& answer) {
                 // Of a whole list the newest record counts alone.
-                if (answer.is_whole)
+                if (answer.is_snapshot)
                     take(
                         host,
                         answer.records.empty()
--- a/tests/platform_adapter/restored_tables_model_test.cpp
+++ b/tests/platform_adapter/restored_tables_model_test.cpp
@@ -40,8 +40,8 @@
         successor_list<table_model> made(*this);
         made.add(newest_ < most_versions, [](auto& next) { next.publish(); });
         made.add(is_lost(), [](auto& next) { next.write_again(); });
-        made.add(store_.copied < store_.log.size(), [](auto& next) {
-            next.store_.copied = next.store_.log.size();
+        made.add(store_.backed_up < store_.log.size(), [](auto& next) {
+            next.store_.backed_up = next.store_.log.size();
         });
         made.add(store_.epoch < last_epoch, [](auto& next) {
             next.store_.restore();
@@ -62,7 +62,7 @@
     }
 
     /// Empty unless the rules are broken by now, or once all has settled.
-    [[nodiscard]] std::string broken() const
+    [[nodiscard]] std::string violation() const
     {
         for (const host_model& host : hosts_) {
             if (host.went_back)
@@ -94,7 +94,7 @@
     {
         table_model made;
         made.publish();
-        made.store_.copied = 1;
+        made.store_.backed_up = 1;
         made.settle();
         return made;
     }
--- a/tests/platform_adapter/store_model.hpp
+++ b/tests/platform_adapter/store_model.hpp
@@ -26,18 +26,19 @@
 {
     unsigned epoch = 1;
     std::vector<Record> log;
-    std::size_t copied = 0;
+    std::size_t backed_up = 0;
 
     /// What was acknowledged since the copy is gone.
     void restore()
     {
-        log.resize(std::min(copied, log.size()));
+        log.resize(std::min(backed_up, log.size()));
         ++epoch;
     }
 
     [[nodiscard]] std::string key() const
     {
-        std::string text = std::to_string(epoch) + '/' + std::to_string(copied);
+        std::string text =
+            std::to_string(epoch) + '/' + std::to_string(backed_up);
         for (const Record& one : log)
             text += ',' + one.key();
         return text;
@@ -46,17 +47,17 @@
 
 /// An answer on its way.
 template<class Record>
-struct answer_model
+struct response_model
 {
     unsigned epoch = 0;
-    bool is_whole = false;
+    bool is_snapshot = false;
     bool is_gone = false; ///< 410.
     std::uint64_t end = 0;
     std::vector<Record> records;
 
     [[nodiscard]] std::string key() const
     {
-        std::string text = std::to_string(epoch) + (is_whole ? "w" : "r") +
+        std::string text = std::to_string(epoch) + (is_snapshot ? "w" : "r") +
                            (is_gone ? "g" : "") + std::to_string(end);
         for (const Record& one : records)
             text += ',' + one.key();
@@ -71,14 +72,14 @@
     store_epoch_tracker epochs;
     topic_cursor cursor;
     bool is_caught_up = false;
-    std::optional<answer_model<Record>> answer;
+    std::optional<response_model<Record>> answer;
 
     void ask(const store_model<Record>& store)
     {
-        answer_model<Record> made;
+        response_model<Record> made;
         made.epoch = store.epoch;
         made.end = store.log.size();
-        made.is_whole = !is_caught_up;
+        made.is_snapshot = !is_caught_up;
         std::size_t from = 0;
         if (is_caught_up)
             from = cursor.next()->offset;
@@ -93,9 +94,9 @@
     /// `on_restored` before anything of a restored store is taken.
     void deliver(
         const std::function<void()>& on_restored,
-        const std::function<void(const answer_model<Record>&)>& take)
+        const std::function<void(const response_model<Record>&)>& take)
     {
-        const answer_model<Record> came = std::move(*answer);
+        const response_model<Record> came = std::move(*answer);
         answer.reset();
         const epoch_status sign = epochs.observe(std::to_string(came.epoch));
         const bool is_usable =
@@ -163,9 +164,9 @@
             for (Model& next : state.successors()) {
                 if (!known.insert(next.key()).second)
                     continue;
-                const std::string broken = next.broken();
-                if (!broken.empty())
-                    return broken + " after " + std::to_string(depth + 1) +
+                const std::string violation = next.violation();
+                if (!violation.empty())
+                    return violation + " after " + std::to_string(depth + 1) +
                            " steps: " + next.key();
                 further.push_back(std::move(next));
             }
