--- a/libraries/membership/include/godwit/membership/actions.hpp
+++ b/libraries/membership/include/godwit/membership/actions.hpp
@@ -2,8 +2,8 @@
 
 #include <godwit/core/identifiers.hpp>
 #include <godwit/membership/pool_snapshot.hpp>
+#include <godwit/membership/server_notice.hpp>
 #include <godwit/membership/server_state.hpp>
-#include <godwit/membership/sign.hpp>
 
 #include <cstddef>
 #include <memory>
@@ -22,12 +22,13 @@
 };
 
 /// Tell the peer agents.
-struct pass_sign
+struct forward_notice
 {
     core::server_address server;
-    sign what = sign::leaving;
+    server_notice kind = server_notice::leaving;
 
-    friend bool operator==(const pass_sign&, const pass_sign&) = default;
+    friend bool
+    operator==(const forward_notice&, const forward_notice&) = default;
 };
 
 /// Ask the server for its load and report `probe_passed` or `probe_failed`.
@@ -63,7 +64,7 @@
 /// Everything that membership can want done.
 using action = std::variant<
     publish_snapshot,
-    pass_sign,
+    forward_notice,
     probe_server,
     state_changed,
     host_list_doubted>;
--- a/libraries/membership/include/godwit/membership/events.hpp
+++ b/libraries/membership/include/godwit/membership/events.hpp
@@ -2,8 +2,8 @@
 
 #include <godwit/core/identifiers.hpp>
 #include <godwit/membership/listed_server.hpp>
+#include <godwit/membership/server_notice.hpp>
 #include <godwit/membership/service_requirement.hpp>
-#include <godwit/membership/sign.hpp>
 
 #include <string>
 #include <variant>
@@ -50,7 +50,7 @@
 };
 
 /// What a request or a probe saw of a backend server.
-enum class sighting
+enum class health_observation
 {
     answered,     ///< A request was answered.
     refused,      ///< A connection was refused.
@@ -62,25 +62,26 @@
 };
 
 /// The name of `value` as it appears in logs.
-[[nodiscard]] std::string_view to_string(sighting value) noexcept;
+[[nodiscard]] std::string_view to_string(health_observation value) noexcept;
 
 /// A request or a probe saw a backend server.
-struct server_seen
+struct server_observed
 {
     core::server_address server;
-    sighting what = sighting::answered;
+    health_observation kind = health_observation::answered;
 
-    friend bool operator==(const server_seen&, const server_seen&) = default;
+    friend bool
+    operator==(const server_observed&, const server_observed&) = default;
 };
 
 /// A peer agent passed a sign on.
-struct sign_received
+struct notice_received
 {
     core::server_address server;
-    sign what = sign::leaving;
+    server_notice kind = server_notice::leaving;
 
     friend bool
-    operator==(const sign_received&, const sign_received&) = default;
+    operator==(const notice_received&, const notice_received&) = default;
 };
 
 /// A peer agent connected, and may know nothing yet.
@@ -102,8 +103,8 @@
     host_list_failed,
     requirements_changed,
     load_reported,
-    server_seen,
-    sign_received,
+    server_observed,
+    notice_received,
     peer_connected,
     clock_ticked>;
 
--- a/libraries/membership/include/godwit/membership/pool.hpp
+++ b/libraries/membership/include/godwit/membership/pool.hpp
@@ -62,8 +62,8 @@
     void on(const host_list_failed& what);
     void on(const requirements_changed& what);
     void on(const load_reported& what);
-    void on(const server_seen& what);
-    void on(const sign_received& what);
+    void on(const server_observed& what);
+    void on(const notice_received& what);
     void on(const peer_connected& what);
     void on(const clock_ticked& what);
 
@@ -71,7 +71,9 @@
     void take_unlisted(const std::vector<listed_server>& listed);
     void on_success(const core::server_address& server, member& known);
     void on_failure(
-        const core::server_address& server, member& known, sighting what);
+        const core::server_address& server,
+        member& known,
+        health_observation what);
     void begin_leaving(
         const core::server_address& server,
         member& known,
--- a/libraries/membership/src/names.cpp
+++ b/libraries/membership/src/names.cpp
@@ -1,6 +1,6 @@
 #include <godwit/membership/events.hpp>
+#include <godwit/membership/server_notice.hpp>
 #include <godwit/membership/server_state.hpp>
-#include <godwit/membership/sign.hpp>
 
 namespace godwit::membership {
 
@@ -21,33 +21,33 @@
     return "gone";
 }
 
-std::string_view to_string(sign value) noexcept
+std::string_view to_string(server_notice value) noexcept
 {
     switch (value) {
-    case sign::leaving:
+    case server_notice::leaving:
         return "leaving";
-    case sign::suspect:
+    case server_notice::suspect:
         return "suspect";
     }
     return "suspect";
 }
 
-std::string_view to_string(sighting value) noexcept
+std::string_view to_string(health_observation value) noexcept
 {
     switch (value) {
-    case sighting::answered:
+    case health_observation::answered:
         return "answered";
-    case sighting::refused:
+    case health_observation::refused:
         return "refused";
-    case sighting::timed_out:
+    case health_observation::timed_out:
         return "timed_out";
-    case sighting::failed:
+    case health_observation::failed:
         return "failed";
-    case sighting::leaving:
+    case health_observation::leaving:
         return "leaving";
-    case sighting::probe_passed:
+    case health_observation::probe_passed:
         return "probe_passed";
-    case sighting::probe_failed:
+    case health_observation::probe_failed:
         return "probe_failed";
     }
     return "failed";
--- a/libraries/membership/src/pool.cpp
+++ b/libraries/membership/src/pool.cpp
@@ -85,42 +85,42 @@
         on_success(what.server, known);
 }
 
-void pool::on(const server_seen& what)
+void pool::on(const server_observed& what)
 {
     const auto found = members_.find(what.server);
     if (found == members_.end())
         return;
     auto& known = found->second;
-    switch (what.what) {
-    case sighting::answered:
-    case sighting::probe_passed:
+    switch (what.kind) {
+    case health_observation::answered:
+    case health_observation::probe_passed:
         on_success(what.server, known);
         return;
-    case sighting::leaving:
+    case health_observation::leaving:
         begin_leaving(what.server, known, "it answered so");
         return;
-    case sighting::refused:
-    case sighting::timed_out:
-    case sighting::failed:
-    case sighting::probe_failed:
-        on_failure(what.server, known, what.what);
+    case health_observation::refused:
+    case health_observation::timed_out:
+    case health_observation::failed:
+    case health_observation::probe_failed:
+        on_failure(what.server, known, what.kind);
         return;
     }
 }
 
-void pool::on(const sign_received& what)
+void pool::on(const notice_received& what)
 {
     auto found = members_.find(what.server);
     if (found == members_.end()) {
         // A peer's sign can come before the first host list does.
         const bool fits = members_.size() < settings_.server_limit;
-        if (what.what != sign::leaving || !fits)
+        if (what.kind != server_notice::leaving || !fits)
             return;
         found = members_.emplace(what.server, member()).first;
         found->second.listed_at = now_;
     }
     auto& known = found->second;
-    if (what.what == sign::leaving) {
+    if (what.kind == server_notice::leaving) {
         begin_leaving(what.server, known, "a peer said so");
         return;
     }
@@ -136,7 +136,7 @@
 {
     for (const auto& [server, known] : members_) {
         if (known.state == server_state::leaving)
-            emit(pass_sign{server, sign::leaving});
+            emit(forward_notice{server, server_notice::leaving});
     }
 }
 
--- a/libraries/membership/src/pool_health.cpp
+++ b/libraries/membership/src/pool_health.cpp
@@ -46,18 +46,20 @@
 }
 
 void pool::on_failure(
-    const core::server_address& server, member& known, sighting what)
+    const core::server_address& server, member& known, health_observation what)
 {
     if (known.state == server_state::leaving) {
-        if (what == sighting::refused || what == sighting::probe_failed)
+        if (what == health_observation::refused ||
+            what == health_observation::probe_failed)
             move_to(server, known, server_state::gone, to_string(what));
         return;
     }
     if (known.state == server_state::gone)
         return;
     ++known.failures;
-    if (what == sighting::refused && known.state == server_state::live)
-        emit(pass_sign{server, sign::suspect});
+    if (what == health_observation::refused &&
+        known.state == server_state::live)
+        emit(forward_notice{server, server_notice::suspect});
     if (known.state == server_state::ejected) {
         // Only what happens after the ejection's end prolongs it: failures
         // of work sent before are late news.
@@ -65,8 +67,8 @@
             eject(server, known, to_string(what));
         return;
     }
-    const bool enough =
-        what == sighting::refused || known.failures >= settings_.failure_limit;
+    const bool enough = what == health_observation::refused ||
+                        known.failures >= settings_.failure_limit;
     if (enough && may_eject(known)) {
         eject(server, known, to_string(what));
         return;
@@ -127,7 +129,7 @@
         return;
     known.leaving_since = now_;
     move_to(server, known, server_state::leaving, why);
-    emit(pass_sign{server, sign::leaving});
+    emit(forward_notice{server, server_notice::leaving});
 }
 
 } // namespace godwit::membership
--- a/services/proxy/agent_link.cpp
+++ b/services/proxy/agent_link.cpp
@@ -101,12 +101,13 @@
     send(wire::catalogue_position{position.next_offset, position.hash});
 }
 
-void agent_link::pass(const membership::pass_sign& sign)
+void agent_link::pass(const membership::forward_notice& sign)
 {
     send(wire::server_sign{
         sign.server,
-        sign.what == membership::sign::leaving ? wire::sign_kind::leaving
-                                               : wire::sign_kind::failed,
+        sign.kind == membership::server_notice::leaving
+            ? wire::sign_kind::leaving
+            : wire::sign_kind::failed,
         0});
 }
 
@@ -146,8 +147,8 @@
             control_.take_sign(
                 {sign->address,
                  sign->kind == wire::sign_kind::leaving
-                     ? membership::sign::leaving
-                     : membership::sign::suspect});
+                     ? membership::server_notice::leaving
+                     : membership::server_notice::suspect});
     } else if (on_claim_) {
         on_claim_(value);
     }
--- a/services/proxy/agent_link.hpp
+++ b/services/proxy/agent_link.hpp
@@ -56,7 +56,7 @@
     bool send(const wire::message& value);
 
     /// Passes a sign on to other entry hosts.
-    void pass(const membership::pass_sign& sign);
+    void pass(const membership::forward_notice& sign);
 
     /// Tells the agent what is in force.
     void report_position();
--- a/services/proxy/control_plane.hpp
+++ b/services/proxy/control_plane.hpp
@@ -52,7 +52,7 @@
         /// asked for the first time. Called once on the control thread.
         std::function<void()> on_ready;
         /// A sign that the other entry hosts should have.
-        std::function<void(const membership::pass_sign&)> on_sign;
+        std::function<void(const membership::forward_notice&)> on_sign;
         /// Another catalogue is in force, or one was offered in vain.
         std::function<void()> on_catalogue;
         /// Time passed; about ten times a second.
@@ -102,7 +102,7 @@
     void take_entry_hosts(std::uint32_t count);
 
     /// A sign from another entry host.
-    void take_sign(membership::sign_received sign);
+    void take_sign(membership::notice_received sign);
 
     /// Gives the state to `listener`, on the control thread.
     void describe(std::function<void(boost::json::object)> listener);
@@ -130,7 +130,7 @@
     void on(const dispatch::refuse_request& what);
     void on(const dispatch::raise_priority& what);
     void on(const membership::publish_snapshot& what);
-    void on(const membership::pass_sign& what);
+    void on(const membership::forward_notice& what);
     void on(const membership::probe_server& what);
     void on(const membership::state_changed& what);
     void on(const membership::host_list_doubted& what);
--- a/services/proxy/control_plane_servers.cpp
+++ b/services/proxy/control_plane_servers.cpp
@@ -64,7 +64,7 @@
     });
 }
 
-void control_plane::take_sign(membership::sign_received sign)
+void control_plane::take_sign(membership::notice_received sign)
 {
     asio::post(control_, [this, sign = std::move(sign)] { run(sign); });
 }
@@ -73,7 +73,7 @@
     core::server_address server, request::observation seen)
 {
     asio::post(control_, [this, server = std::move(server), seen] {
-        run(membership::server_seen{server, sighting_of(seen)});
+        run(membership::server_observed{server, sighting_of(seen)});
     });
 }
 
@@ -122,7 +122,7 @@
     run(std::move(change));
 }
 
-void control_plane::on(const membership::pass_sign& what)
+void control_plane::on(const membership::forward_notice& what)
 {
     if (to_.on_sign)
         to_.on_sign(what);
@@ -163,8 +163,8 @@
             component,
             "load_poll_failed",
             {{"server", server}, {"why", answer.error().to_string()}});
-        run(membership::server_seen{
-            server, membership::sighting::probe_failed});
+        run(membership::server_observed{
+            server, membership::health_observation::probe_failed});
         return;
     }
     run(membership::load_reported{
--- a/services/proxy/proxy_process.cpp
+++ b/services/proxy/proxy_process.cpp
@@ -88,7 +88,7 @@
             state_.has_catalogue = true;
             std::cout << "ready" << std::endl;
         },
-        [this](const membership::pass_sign& sign) {
+        [this](const membership::forward_notice& sign) {
             if (agent_)
                 agent_->pass(sign);
         },
--- a/services/proxy/sighting_of.cpp
+++ b/services/proxy/sighting_of.cpp
@@ -2,22 +2,22 @@
 
 namespace godwit::proxy {
 
-membership::sighting sighting_of(request::observation seen) noexcept
+membership::health_observation sighting_of(request::observation seen) noexcept
 {
     switch (seen) {
     case request::observation::answered:
-        return membership::sighting::answered;
+        return membership::health_observation::answered;
     case request::observation::refused:
-        return membership::sighting::refused;
+        return membership::health_observation::refused;
     case request::observation::timed_out:
-        return membership::sighting::timed_out;
+        return membership::health_observation::timed_out;
     case request::observation::broke:
     case request::observation::crossed:
-        return membership::sighting::failed;
+        return membership::health_observation::failed;
     case request::observation::leaving:
-        return membership::sighting::leaving;
+        return membership::health_observation::leaving;
     }
-    return membership::sighting::answered;
+    return membership::health_observation::answered;
 }
 
 } // namespace godwit::proxy
--- a/services/proxy/sighting_of.hpp
+++ b/services/proxy/sighting_of.hpp
@@ -6,7 +6,7 @@
 namespace godwit::proxy {
 
 /// What membership learns of a backend server from what a request saw there.
-[[nodiscard]] membership::sighting
+[[nodiscard]] membership::health_observation
 sighting_of(request::observation seen) noexcept;
 
 } // namespace godwit::proxy
--- a/tests/faults/entry_host_servers.cpp
+++ b/tests/faults/entry_host_servers.cpp
@@ -24,30 +24,32 @@
 
 void entry_host::run(const session_pointer&, const request::report_server& what)
 {
-    see(membership::server_seen{what.server, proxy::sighting_of(what.seen)});
+    see(membership::server_observed{
+        what.server, proxy::sighting_of(what.seen)});
 }
 
 void entry_host::see(const membership::event& what)
 {
     const auto todo = pool_.handle(what, world_->clock.now());
     for (const auto& action : todo) {
-        if (const auto* pass = std::get_if<membership::pass_sign>(&action)) {
+        if (const auto* pass =
+                std::get_if<membership::forward_notice>(&action)) {
             if (const auto& other = world_->hosts.at(1 - index_))
                 other->post(hop, [other, sign = *pass] {
                     other->see(
-                        membership::sign_received{sign.server, sign.what});
+                        membership::notice_received{sign.server, sign.kind});
                 });
         }
         if (const auto* probe =
                 std::get_if<membership::probe_server>(&action)) {
             const auto& there = world_->servers.at(index_of(probe->server));
-            auto found = membership::sighting::probe_passed;
+            auto found = membership::health_observation::probe_passed;
             if (!there.alive() || world_->cut_off(index_))
-                found = membership::sighting::probe_failed;
+                found = membership::health_observation::probe_failed;
             else if (there.leaving())
-                found = membership::sighting::leaving;
+                found = membership::health_observation::leaving;
             post(hop, [this, found, server = probe->server] {
-                see(membership::server_seen{server, found});
+                see(membership::server_observed{server, found});
             });
         }
     }
--- a/tests/membership/pool_test.cpp
+++ b/tests/membership/pool_test.cpp
@@ -70,9 +70,9 @@
         return pool_->handle(what, now_);
     }
 
-    void see(int number, sighting what)
+    void see(int number, health_observation what)
     {
-        feed(server_seen{numbered(number), what});
+        feed(server_observed{numbered(number), what});
     }
 
     [[nodiscard]] std::size_t eligible() const
@@ -118,42 +118,42 @@
 
     void test_every_sign_of_leaving_ends_eligibility()
     {
-        see(0, sighting::leaving);
-        feed(sign_received{numbered(1), sign::leaving});
+        see(0, health_observation::leaving);
+        feed(notice_received{numbered(1), server_notice::leaving});
         feed(load_reported{numbered(2), {}, {}, "", listed_state::leaving});
         auto list = list_of(0, 6);
         list.servers[3].state = listed_state::leaving;
         const auto actions = feed(list);
-        CPPUNIT_ASSERT_EQUAL(1, count<pass_sign>(actions));
-        see(4, sighting::refused);
+        CPPUNIT_ASSERT_EQUAL(1, count<forward_notice>(actions));
+        see(4, health_observation::refused);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), eligible());
     }
 
     void test_late_list_revives_nothing()
     {
-        see(0, sighting::leaving);
+        see(0, health_observation::leaving);
         feed(list_of(0, 6));
-        see(0, sighting::probe_passed);
+        see(0, health_observation::probe_passed);
         now_ += seconds(30);
         feed(list_of(0, 6));
-        see(0, sighting::answered);
+        see(0, health_observation::answered);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
         now_ += seconds(31);
         feed(list_of(0, 6));
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(feed(clock_ticked{})));
-        see(0, sighting::probe_passed);
+        see(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
     void test_restarted_server_comes_back()
     {
-        see(0, sighting::leaving);
-        see(0, sighting::refused);
+        see(0, health_observation::leaving);
+        see(0, health_observation::refused);
         CPPUNIT_ASSERT(pool_->state_of(numbered(0)) == server_state::gone);
         now_ += seconds(61);
         feed(list_of(0, 6));
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(feed(clock_ticked{})));
-        see(0, sighting::probe_passed);
+        see(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
@@ -162,18 +162,18 @@
         int told = 0;
         for (int number = 0; number < 6; ++number) {
             for (int times = 0; times < 5; ++times)
-                told += count<pass_sign>(
-                    feed(server_seen{numbered(number), sighting::refused}));
+                told += count<forward_notice>(feed(server_observed{
+                    numbered(number), health_observation::refused}));
         }
         CPPUNIT_ASSERT_EQUAL(6, told);
     }
 
     void test_new_peer_is_told_who_leaves()
     {
-        see(0, sighting::leaving);
-        CPPUNIT_ASSERT_EQUAL(1, count<pass_sign>(feed(peer_connected{})));
+        see(0, health_observation::leaving);
+        CPPUNIT_ASSERT_EQUAL(1, count<forward_notice>(feed(peer_connected{})));
         // At the peer, the sign can come before the first list.
-        feed(sign_received{numbered(6), sign::leaving});
+        feed(notice_received{numbered(6), server_notice::leaving});
         feed(list_of(0, 7));
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
     }
@@ -182,25 +182,25 @@
     {
         for (int number = 0; number < 6; ++number) {
             for (int times = 0; times < 4; ++times)
-                see(number, sighting::timed_out);
-            see(number, sighting::refused);
+                see(number, health_observation::timed_out);
+            see(number, health_observation::refused);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), eligible());
     }
 
     void test_ejection_grows_and_ends_by_a_probe()
     {
-        see(0, sighting::refused);
+        see(0, health_observation::refused);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
         CPPUNIT_ASSERT_EQUAL(0, count<probe_server>(feed(clock_ticked{})));
         now_ += std::chrono::milliseconds(1250);
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(feed(clock_ticked{})));
-        see(0, sighting::probe_failed);
+        see(0, health_observation::probe_failed);
         now_ += std::chrono::milliseconds(1999);
-        see(0, sighting::probe_passed);
+        see(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
         now_ += std::chrono::milliseconds(600);
-        see(0, sighting::probe_passed);
+        see(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
@@ -217,7 +217,8 @@
 
     void test_peer_suspicion_only_probes()
     {
-        const auto actions = feed(sign_received{numbered(0), sign::suspect});
+        const auto actions =
+            feed(notice_received{numbered(0), server_notice::suspect});
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(actions));
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
