--- a/libraries/membership/include/godwit/membership/actions.hpp
+++ b/libraries/membership/include/godwit/membership/actions.hpp
@@ -45,20 +45,20 @@
     core::server_address server;
     server_state from = server_state::live;
     server_state to = server_state::live;
-    std::string why;
+    std::string reason;
 
     friend bool
     operator==(const state_changed&, const state_changed&) = default;
 };
 
 /// A host list was not believed; for the log and an alarm.
-struct host_list_doubted
+struct host_list_implausible
 {
     std::size_t missing = 0; ///< Servers that it left out.
     std::size_t known = 0;
 
-    friend bool
-    operator==(const host_list_doubted&, const host_list_doubted&) = default;
+    friend bool operator==(
+        const host_list_implausible&, const host_list_implausible&) = default;
 };
 
 /// Everything that membership can want done.
@@ -67,6 +67,6 @@
     forward_notice,
     probe_server,
     state_changed,
-    host_list_doubted>;
+    host_list_implausible>;
 
 } // namespace godwit::membership
--- a/libraries/membership/src/pool_list.cpp
+++ b/libraries/membership/src/pool_list.cpp
@@ -13,7 +13,7 @@
 {
     // An empty list is an outage of the list, not of every backend server.
     if (what.servers.empty()) {
-        emit(host_list_doubted{members_.size(), members_.size()});
+        emit(host_list_implausible{members_.size(), members_.size()});
         return;
     }
     take_unlisted(what.servers);
@@ -68,7 +68,7 @@
         }
     }
     if (missing.size() * 2 > counted) {
-        emit(host_list_doubted{missing.size(), counted});
+        emit(host_list_implausible{missing.size(), counted});
         return;
     }
     for (const auto& server : missing) {
--- a/services/proxy/control_plane.hpp
+++ b/services/proxy/control_plane.hpp
@@ -133,7 +133,7 @@
     void on(const membership::forward_notice& what);
     void on(const membership::probe_server& what);
     void on(const membership::state_changed& what);
-    void on(const membership::host_list_doubted& what);
+    void on(const membership::host_list_implausible& what);
 
     void allow_last_servers(dispatch::request_arrived& arrival) const;
     void refresh_polls();
--- a/services/proxy/control_plane_servers.cpp
+++ b/services/proxy/control_plane_servers.cpp
@@ -142,10 +142,10 @@
         {{"server", what.server},
          {"from", membership::to_string(what.from)},
          {"to", membership::to_string(what.to)},
-         {"why", what.why}});
+         {"why", what.reason}});
 }
 
-void control_plane::on(const membership::host_list_doubted& what)
+void control_plane::on(const membership::host_list_implausible& what)
 {
     log_event(
         log_level::warning,
--- a/tests/membership/pool_test.cpp
+++ b/tests/membership/pool_test.cpp
@@ -103,7 +103,7 @@
     void test_empty_list_keeps_the_pool()
     {
         CPPUNIT_ASSERT_EQUAL(
-            1, count<host_list_doubted>(feed(host_list_read{})));
+            1, count<host_list_implausible>(feed(host_list_read{})));
         feed(host_list_failed{});
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
