--- a/libraries/telemetry/include/godwit/telemetry/last_words.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/crash_handlers.hpp
@@ -7,6 +7,7 @@
 /// From now on a process that ends by a fault says so on standard output:
 /// an uncaught exception with what it said, a fatal signal with its number.
 /// Called once, after `start_log`.
-void say_last_words(const core::host_name& host, const core::zone_name& zone);
+void install_crash_handlers(
+    const core::host_name& host, const core::zone_name& zone);
 
 } // namespace godwit::telemetry
--- a/libraries/telemetry/src/last_words.cpp
+++ b/libraries/telemetry/src/crash_handlers.cpp
@@ -1,4 +1,4 @@
-#include <godwit/telemetry/last_words.hpp>
+#include <godwit/telemetry/crash_handlers.hpp>
 
 #include <godwit/telemetry/log.hpp>
 
@@ -67,7 +67,8 @@
 
 } // namespace
 
-void say_last_words(const core::host_name& host, const core::zone_name& zone)
+void install_crash_handlers(
+    const core::host_name& host, const core::zone_name& zone)
 {
     beginning = "level=ERROR component=process host=" + host.value() +
                 " zone=" + zone.value() + " event=fatal signal=";
--- a/tests/telemetry/last_words_test.cpp
+++ b/tests/telemetry/crash_handlers_test.cpp
@@ -1,7 +1,7 @@
 // A process that ends by a fault takes every request along that it had. Its
 // log held nothing but the start of the next one; now the last line says why.
 
-#include <godwit/telemetry/last_words.hpp>
+#include <godwit/telemetry/crash_handlers.hpp>
 #include <godwit/telemetry/log.hpp>
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,9 +19,9 @@
 
 using namespace godwit;
 
-class last_words_test : public CppUnit::TestFixture
+class crash_handlers_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(last_words_test);
+    CPPUNIT_TEST_SUITE(crash_handlers_test);
     CPPUNIT_TEST(test_a_fatal_signal_is_said);
     CPPUNIT_TEST(test_an_uncaught_exception_is_said);
     CPPUNIT_TEST_SUITE_END();
@@ -47,7 +47,7 @@
                 host,
                 zone,
                 telemetry::log_target::standard_output);
-            telemetry::say_last_words(host, zone);
+            telemetry::install_crash_handlers(host, zone);
             fault();
             ::_exit(0);
         }
@@ -92,6 +92,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(last_words_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(crash_handlers_test);
 
 } // namespace
