--- a/libraries/telemetry/include/godwit/telemetry/bounded_sink.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/bounded_sink.hpp
@@ -40,7 +40,7 @@
     void write(std::string_view line, core::time_point now);
 
     /// Lines left out since the start.
-    [[nodiscard]] std::uint64_t left_out() const;
+    [[nodiscard]] std::uint64_t dropped_lines() const;
 
 private:
     [[nodiscard]] bool may_write(core::time_point now);
--- a/libraries/telemetry/src/bounded_sink.cpp
+++ b/libraries/telemetry/src/bounded_sink.cpp
@@ -39,7 +39,7 @@
     write_now(line);
 }
 
-std::uint64_t bounded_sink::left_out() const
+std::uint64_t bounded_sink::dropped_lines() const
 {
     const std::lock_guard lock(mutex_);
     return left_out_;
--- a/libraries/telemetry/src/log_line.cpp
+++ b/libraries/telemetry/src/log_line.cpp
@@ -33,9 +33,9 @@
 
 std::string written(const std::string& value)
 {
-    const bool cut = value.size() > max_log_value;
+    const bool cut = value.size() > max_log_value_bytes;
     const std::string_view kept =
-        std::string_view(value).substr(0, max_log_value);
+        std::string_view(value).substr(0, max_log_value_bytes);
     if (!cut && !kept.empty() &&
         std::all_of(kept.begin(), kept.end(), is_plain))
         return value;
@@ -56,7 +56,7 @@
     for (const auto& field : fields) {
         const std::string value = written(field.value());
         if (line.size() + field.key().size() + value.size() + 2 >
-            max_log_line) {
+            max_log_line_bytes) {
             ++left_out;
             continue;
         }
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -104,8 +104,8 @@
         // A pipe holds 64 KiB; the test would hang here if a write waited.
         for (int count = 0; count < 1000; ++count)
             sink.write(line, time_point());
-        CPPUNIT_ASSERT(sink.left_out() > 900);
-        const std::uint64_t left_out = sink.left_out();
+        CPPUNIT_ASSERT(sink.dropped_lines() > 900);
+        const std::uint64_t left_out = sink.dropped_lines();
         drain(ends[0]);
         sink.write("end\n", time_point());
         CPPUNIT_ASSERT_EQUAL(notice(left_out) + "end\n", drain(ends[0]));
@@ -121,7 +121,7 @@
         const time_point start{std::chrono::seconds(1)};
         for (int count = 0; count < 20; ++count)
             sink.write("a\n", start);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{15}, sink.left_out());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{15}, sink.dropped_lines());
         sink.write("b\n", start + std::chrono::milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(
             std::string("a\na\na\na\na\n") + notice(15) + "b\n",
