--- a/libraries/settings/include/godwit/settings/read_values.hpp
+++ b/libraries/settings/include/godwit/settings/read_values.hpp
@@ -15,7 +15,7 @@
 
 /// A span given in whole milliseconds, `absent` where the key is missing.
 /// Fails with `invalid_input` naming the key's path.
-[[nodiscard]] core::result<core::duration> read_span(
+[[nodiscard]] core::result<core::duration> read_duration(
     reader& from,
     std::string_view key,
     range<std::chrono::milliseconds> allowed,
@@ -30,14 +30,15 @@
     std::size_t absent);
 
 /// The length up to which names of hosts, zones and services are taken.
-inline constexpr std::size_t longest_name = 128;
+inline constexpr std::size_t max_name_length = 128;
 
 /// A name that must be there. Fails with `invalid_input` naming the key's
 /// path.
 template<class Name>
 [[nodiscard]] core::result<Name> read_name(reader& from, std::string_view key)
 {
-    return Name(GODWIT_TRY(from.get_string(key, std::nullopt, longest_name)));
+    return Name(
+        GODWIT_TRY(from.get_string(key, std::nullopt, max_name_length)));
 }
 
 } // namespace godwit::settings
--- a/libraries/settings/src/read_values.cpp
+++ b/libraries/settings/src/read_values.cpp
@@ -2,7 +2,7 @@
 
 namespace godwit::settings {
 
-core::result<core::duration> read_span(
+core::result<core::duration> read_duration(
     reader& from,
     std::string_view key,
     range<std::chrono::milliseconds> allowed,
--- a/services/agent/src/agent_settings.cpp
+++ b/services/agent/src/agent_settings.cpp
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 using settings::read_count;
+using settings::read_duration;
 using settings::read_name;
-using settings::read_span;
 using settings::reader;
 using telemetry::read_log_level;
 
@@ -23,11 +23,12 @@
     auto from = GODWIT_TRY(file.get_object("log"));
     log_settings log;
     auto& client = log.client;
-    log.wait = GODWIT_TRY(read_span(from, "wait_ms", {0ms, 1min}, log.wait));
+    log.wait =
+        GODWIT_TRY(read_duration(from, "wait_ms", {0ms, 1min}, log.wait));
     client.read_timeout = GODWIT_TRY(
-        read_span(from, "read_ms", {10ms, 1min}, client.read_timeout));
+        read_duration(from, "read_ms", {10ms, 1min}, client.read_timeout));
     client.append_timeout = GODWIT_TRY(
-        read_span(from, "append_ms", {10ms, 1min}, client.append_timeout));
+        read_duration(from, "append_ms", {10ms, 1min}, client.append_timeout));
     client.page_bytes = GODWIT_TRY(read_count(
         from,
         "page_bytes",
@@ -47,12 +48,12 @@
 {
     auto from = GODWIT_TRY(file.get_object("host_list"));
     platform::host_list_options list;
-    list.interval =
-        GODWIT_TRY(read_span(from, "interval_ms", {10ms, 1min}, list.interval));
-    list.timeout =
-        GODWIT_TRY(read_span(from, "timeout_ms", {10ms, 1min}, list.timeout));
-    list.longest_wait = GODWIT_TRY(
-        read_span(from, "longest_wait_ms", {10ms, 1min}, list.longest_wait));
+    list.interval = GODWIT_TRY(
+        read_duration(from, "interval_ms", {10ms, 1min}, list.interval));
+    list.timeout = GODWIT_TRY(
+        read_duration(from, "timeout_ms", {10ms, 1min}, list.timeout));
+    list.longest_wait = GODWIT_TRY(read_duration(
+        from, "longest_wait_ms", {10ms, 1min}, list.longest_wait));
     GODWIT_TRY(from.finish());
     return list;
 }
@@ -63,21 +64,21 @@
     catalogue::follower_settings follower;
     follower.neighbour_count = GODWIT_TRY(
         read_count(from, "neighbours", {1, 32}, follower.neighbour_count));
-    follower.digest_interval = GODWIT_TRY(
-        read_span(from, "digest_ms", {50ms, 1min}, follower.digest_interval));
-    follower.digest_spacing = GODWIT_TRY(read_span(
+    follower.digest_interval = GODWIT_TRY(read_duration(
+        from, "digest_ms", {50ms, 1min}, follower.digest_interval));
+    follower.digest_spacing = GODWIT_TRY(read_duration(
         from, "digest_spacing_ms", {0ms, 1min}, follower.digest_spacing));
     follower.log_grace = GODWIT_TRY(
-        read_span(from, "log_grace_ms", {0ms, 1min}, follower.log_grace));
+        read_duration(from, "log_grace_ms", {0ms, 1min}, follower.log_grace));
     follower.log_retry = GODWIT_TRY(
-        read_span(from, "log_retry_ms", {10ms, 1min}, follower.log_retry));
+        read_duration(from, "log_retry_ms", {10ms, 1min}, follower.log_retry));
     follower.pull_timeout = GODWIT_TRY(
-        read_span(from, "pull_ms", {10ms, 1min}, follower.pull_timeout));
-    follower.checkpoint_interval = GODWIT_TRY(read_span(
+        read_duration(from, "pull_ms", {10ms, 1min}, follower.pull_timeout));
+    follower.checkpoint_interval = GODWIT_TRY(read_duration(
         from, "checkpoint_ms", {100ms, 168h}, follower.checkpoint_interval));
-    follower.checkpoint_rank_step = GODWIT_TRY(read_span(
+    follower.checkpoint_rank_step = GODWIT_TRY(read_duration(
         from, "checkpoint_rank_ms", {0ms, 1h}, follower.checkpoint_rank_step));
-    follower.checkpoint_retry = GODWIT_TRY(read_span(
+    follower.checkpoint_retry = GODWIT_TRY(read_duration(
         from, "checkpoint_retry_ms", {100ms, 1h}, follower.checkpoint_retry));
     follower.read_limit = static_cast<std::uint32_t>(GODWIT_TRY(
         read_count(from, "read_limit", {1, 10000}, follower.read_limit)));
@@ -92,15 +93,16 @@
     auto& claimer = read.claimer;
     claimer.ledger.retention =
         std::chrono::duration_cast<std::chrono::milliseconds>(
-            GODWIT_TRY(read_span(
+            GODWIT_TRY(read_duration(
                 from, "retention_ms", {1s, 720h}, claimer.ledger.retention)));
     claimer.ledger.margin =
-        std::chrono::duration_cast<std::chrono::milliseconds>(GODWIT_TRY(
-            read_span(from, "margin_ms", {0ms, 720h}, claimer.ledger.margin)));
+        std::chrono::duration_cast<std::chrono::milliseconds>(
+            GODWIT_TRY(read_duration(
+                from, "margin_ms", {0ms, 720h}, claimer.ledger.margin)));
     claimer.ledger.entry_limit = GODWIT_TRY(read_count(
         from, "entry_limit", {1, 10000000}, claimer.ledger.entry_limit));
     claimer.gather =
-        GODWIT_TRY(read_span(from, "gather_ms", {0ms, 1s}, claimer.gather));
+        GODWIT_TRY(read_duration(from, "gather_ms", {0ms, 1s}, claimer.gather));
     claimer.key_ranges = static_cast<std::uint32_t>(GODWIT_TRY(
         read_count(from, "key_ranges", {1, 64}, claimer.key_ranges)));
     claimer.log_share = GODWIT_TRY(
@@ -108,17 +110,17 @@
     claimer.pending_limit = GODWIT_TRY(
         read_count(from, "pending_limit", {1, 1000000}, claimer.pending_limit));
     claimer.ask_timeout = GODWIT_TRY(
-        read_span(from, "ask_ms", {10ms, 1min}, claimer.ask_timeout));
+        read_duration(from, "ask_ms", {10ms, 1min}, claimer.ask_timeout));
     claimer.append_timeout = GODWIT_TRY(
-        read_span(from, "append_ms", {10ms, 1min}, claimer.append_timeout));
-    claimer.forward_timeout = GODWIT_TRY(
-        read_span(from, "forward_ms", {10ms, 1min}, claimer.forward_timeout));
+        read_duration(from, "append_ms", {10ms, 1min}, claimer.append_timeout));
+    claimer.forward_timeout = GODWIT_TRY(read_duration(
+        from, "forward_ms", {10ms, 1min}, claimer.forward_timeout));
     claimer.start_limit = GODWIT_TRY(
-        read_span(from, "start_ms", {10ms, 1h}, claimer.start_limit));
+        read_duration(from, "start_ms", {10ms, 1h}, claimer.start_limit));
     claimer.log_retry = GODWIT_TRY(
-        read_span(from, "log_retry_ms", {10ms, 1min}, claimer.log_retry));
+        read_duration(from, "log_retry_ms", {10ms, 1min}, claimer.log_retry));
     read.proxy_grace = GODWIT_TRY(
-        read_span(from, "proxy_grace_ms", {0ms, 1h}, read.proxy_grace));
+        read_duration(from, "proxy_grace_ms", {0ms, 1h}, read.proxy_grace));
     GODWIT_TRY(from.finish());
     return read;
 }
@@ -129,27 +131,27 @@
     orders_settings read;
     auto& orders = read.reconciler;
     orders.lease_length = GODWIT_TRY(
-        read_span(from, "lease_ms", {500ms, 20s}, orders.lease_length));
-    orders.lease_margin = GODWIT_TRY(
-        read_span(from, "lease_margin_ms", {1ms, 20s}, orders.lease_margin));
+        read_duration(from, "lease_ms", {500ms, 20s}, orders.lease_length));
+    orders.lease_margin = GODWIT_TRY(read_duration(
+        from, "lease_margin_ms", {1ms, 20s}, orders.lease_margin));
     orders.first_wait = GODWIT_TRY(
-        read_span(from, "first_wait_ms", {500ms, 1min}, orders.first_wait));
+        read_duration(from, "first_wait_ms", {500ms, 1min}, orders.first_wait));
     orders.weight_store_rate = GODWIT_TRY(from.get_number(
         "weight_store_rate", {0.001, 10000}, orders.weight_store_rate));
     orders.weight_store_share = GODWIT_TRY(from.get_number(
         "weight_store_share", {0.01, 1}, orders.weight_store_share));
     orders.disrupted_percent = static_cast<std::uint32_t>(GODWIT_TRY(read_count(
         from, "disrupted_percent", {0, 100}, orders.disrupted_percent)));
-    orders.verify_interval = GODWIT_TRY(
-        read_span(from, "verify_ms", {50ms, 10min}, orders.verify_interval));
-    orders.pending_interval = GODWIT_TRY(
-        read_span(from, "pending_ms", {50ms, 10min}, orders.pending_interval));
+    orders.verify_interval = GODWIT_TRY(read_duration(
+        from, "verify_ms", {50ms, 10min}, orders.verify_interval));
+    orders.pending_interval = GODWIT_TRY(read_duration(
+        from, "pending_ms", {50ms, 10min}, orders.pending_interval));
     orders.repeat_after = GODWIT_TRY(
-        read_span(from, "repeat_ms", {100ms, 24h}, orders.repeat_after));
+        read_duration(from, "repeat_ms", {100ms, 24h}, orders.repeat_after));
     orders.answer_timeout = GODWIT_TRY(
-        read_span(from, "answer_ms", {10ms, 1min}, orders.answer_timeout));
+        read_duration(from, "answer_ms", {10ms, 1min}, orders.answer_timeout));
     orders.log_retry = GODWIT_TRY(
-        read_span(from, "log_retry_ms", {10ms, 1min}, orders.log_retry));
+        read_duration(from, "log_retry_ms", {10ms, 1min}, orders.log_retry));
     GODWIT_TRY(from.finish());
     return read;
 }
@@ -158,10 +160,10 @@
 {
     auto from = GODWIT_TRY(file.get_object("links"));
     wire::link_options links;
-    links.heartbeat_interval = GODWIT_TRY(
-        read_span(from, "heartbeat_ms", {50ms, 1min}, std::chrono::seconds(2)));
-    links.idle_timeout = GODWIT_TRY(
-        read_span(from, "idle_ms", {100ms, 10min}, std::chrono::seconds(8)));
+    links.heartbeat_interval = GODWIT_TRY(read_duration(
+        from, "heartbeat_ms", {50ms, 1min}, std::chrono::seconds(2)));
+    links.idle_timeout = GODWIT_TRY(read_duration(
+        from, "idle_ms", {100ms, 10min}, std::chrono::seconds(8)));
     links.send_queue_limit = GODWIT_TRY(read_count(
         from,
         "queue_bytes",
@@ -222,7 +224,7 @@
     read.catalogue.read_timeout =
         2 * (read.log.wait + read.log.client.read_timeout);
     read.pause_limit = GODWIT_TRY(
-        read_span(file, "pause_ms", {200ms, 1min}, read.pause_limit));
+        read_duration(file, "pause_ms", {200ms, 1min}, read.pause_limit));
     read.orders.reconciler.host = read.host;
     read.orders.reconciler.read_wait = read.log.wait;
     read.orders.pause_limit = read.pause_limit;
--- a/services/proxy/proxy_settings.cpp
+++ b/services/proxy/proxy_settings.cpp
@@ -14,8 +14,8 @@
 
 using namespace std::chrono_literals;
 using settings::read_count;
+using settings::read_duration;
 using settings::read_name;
-using settings::read_span;
 using settings::reader;
 using telemetry::read_log_level;
 
@@ -33,11 +33,11 @@
     limits.connections = GODWIT_TRY(
         read_count(from, "connections", {1, 65536}, limits.connections));
     limits.header_timeout = GODWIT_TRY(
-        read_span(from, "header_ms", {10ms, 10min}, limits.header_timeout));
+        read_duration(from, "header_ms", {10ms, 10min}, limits.header_timeout));
     limits.body_timeout = GODWIT_TRY(
-        read_span(from, "body_ms", {10ms, 10min}, limits.body_timeout));
-    limits.idle_timeout =
-        GODWIT_TRY(read_span(from, "idle_ms", {10ms, 1h}, limits.idle_timeout));
+        read_duration(from, "body_ms", {10ms, 10min}, limits.body_timeout));
+    limits.idle_timeout = GODWIT_TRY(
+        read_duration(from, "idle_ms", {10ms, 1h}, limits.idle_timeout));
     return from.finish(limits);
 }
 
@@ -50,7 +50,7 @@
     callers.buffer_bytes = GODWIT_TRY(read_count(
         from, "buffer_bytes", {1024, 16L * 1024 * 1024}, callers.buffer_bytes));
     callers.slow_limit = GODWIT_TRY(
-        read_span(from, "slow_ms", {10ms, 10min}, callers.slow_limit));
+        read_duration(from, "slow_ms", {10ms, 10min}, callers.slow_limit));
     return from.finish(callers);
 }
 
@@ -61,11 +61,11 @@
     backend.subset =
         GODWIT_TRY(read_count(from, "subset", {1, 1024}, backend.subset));
     backend.load_poll = GODWIT_TRY(
-        read_span(from, "load_poll_ms", {10ms, 1min}, backend.load_poll));
+        read_duration(from, "load_poll_ms", {10ms, 1min}, backend.load_poll));
     backend.polls_per_second = GODWIT_TRY(read_count(
         from, "polls_per_second", {1, 100000}, backend.polls_per_second));
-    backend.load_timeout = GODWIT_TRY(
-        read_span(from, "load_timeout_ms", {10ms, 1min}, backend.load_timeout));
+    backend.load_timeout = GODWIT_TRY(read_duration(
+        from, "load_timeout_ms", {10ms, 1min}, backend.load_timeout));
     backend.answer_bytes = GODWIT_TRY(read_count(
         from,
         "answer_bytes",
@@ -78,32 +78,32 @@
 {
     auto from = GODWIT_TRY(file.get_object("request"));
     request::life_settings life;
-    life.claim_wait =
-        GODWIT_TRY(read_span(from, "claim_ms", {10ms, 1min}, life.claim_wait));
-    life.holder_wait =
-        GODWIT_TRY(read_span(from, "holder_ms", {10ms, 1h}, life.holder_wait));
+    life.claim_wait = GODWIT_TRY(
+        read_duration(from, "claim_ms", {10ms, 1min}, life.claim_wait));
+    life.holder_wait = GODWIT_TRY(
+        read_duration(from, "holder_ms", {10ms, 1h}, life.holder_wait));
     life.connect_wait = GODWIT_TRY(
-        read_span(from, "connect_ms", {10ms, 1min}, life.connect_wait));
+        read_duration(from, "connect_ms", {10ms, 1min}, life.connect_wait));
     life.head_wait =
-        GODWIT_TRY(read_span(from, "head_ms", {10ms, 1h}, life.head_wait));
+        GODWIT_TRY(read_duration(from, "head_ms", {10ms, 1h}, life.head_wait));
     life.resume_wait = GODWIT_TRY(
-        read_span(from, "resume_ms", {10ms, 1min}, life.resume_wait));
-    life.first_token_wait = GODWIT_TRY(
-        read_span(from, "first_token_ms", {10ms, 1h}, life.first_token_wait));
-    life.stall_wait =
-        GODWIT_TRY(read_span(from, "stall_ms", {10ms, 10min}, life.stall_wait));
+        read_duration(from, "resume_ms", {10ms, 1min}, life.resume_wait));
+    life.first_token_wait = GODWIT_TRY(read_duration(
+        from, "first_token_ms", {10ms, 1h}, life.first_token_wait));
+    life.stall_wait = GODWIT_TRY(
+        read_duration(from, "stall_ms", {10ms, 10min}, life.stall_wait));
     life.preempted_wait = GODWIT_TRY(
-        read_span(from, "preempted_ms", {10ms, 1h}, life.preempted_wait));
+        read_duration(from, "preempted_ms", {10ms, 1h}, life.preempted_wait));
     life.end_wait =
-        GODWIT_TRY(read_span(from, "end_ms", {10ms, 1min}, life.end_wait));
-    life.orphan_wait =
-        GODWIT_TRY(read_span(from, "orphan_ms", {10ms, 1h}, life.orphan_wait));
+        GODWIT_TRY(read_duration(from, "end_ms", {10ms, 1min}, life.end_wait));
+    life.orphan_wait = GODWIT_TRY(
+        read_duration(from, "orphan_ms", {10ms, 1h}, life.orphan_wait));
     life.backoff_base = GODWIT_TRY(
-        read_span(from, "backoff_ms", {1ms, 1min}, life.backoff_base));
-    life.backoff_limit = GODWIT_TRY(
-        read_span(from, "backoff_limit_ms", {1ms, 1min}, life.backoff_limit));
+        read_duration(from, "backoff_ms", {1ms, 1min}, life.backoff_base));
+    life.backoff_limit = GODWIT_TRY(read_duration(
+        from, "backoff_limit_ms", {1ms, 1min}, life.backoff_limit));
     life.retry_after = GODWIT_TRY(
-        read_span(from, "retry_after_ms", {1ms, 1h}, life.retry_after));
+        read_duration(from, "retry_after_ms", {1ms, 1h}, life.retry_after));
     life.attempt_limit = static_cast<std::uint32_t>(
         GODWIT_TRY(read_count(from, "attempts", {1, 10}, life.attempt_limit)));
     life.resume_limit = static_cast<std::uint32_t>(GODWIT_TRY(
@@ -129,9 +129,9 @@
     auto from = GODWIT_TRY(file.get_object("drain"));
     drain_settings drain;
     drain.readiness = GODWIT_TRY(
-        read_span(from, "readiness_ms", {0ms, 10min}, drain.readiness));
+        read_duration(from, "readiness_ms", {0ms, 10min}, drain.readiness));
     drain.limit =
-        GODWIT_TRY(read_span(from, "limit_ms", {1ms, 24h}, drain.limit));
+        GODWIT_TRY(read_duration(from, "limit_ms", {1ms, 24h}, drain.limit));
     return from.finish(drain);
 }
 
@@ -232,8 +232,8 @@
     read.dispatch = GODWIT_TRY(read_dispatch(file, zone));
     read.drain = GODWIT_TRY(read_drain(file));
     read.resume_keys = GODWIT_TRY(read_resume_keys(file));
-    read.resume_validity = GODWIT_TRY(
-        read_span(file, "resume_validity_ms", {1s, 24h}, read.resume_validity));
+    read.resume_validity = GODWIT_TRY(read_duration(
+        file, "resume_validity_ms", {1s, 24h}, read.resume_validity));
     read.explain_records = GODWIT_TRY(read_count(
         file, "explain_records", {1, 1000000}, read.explain_records));
     read.fixed = GODWIT_TRY(read_static(file));
