--- a/libraries/platform/include/godwit/platform/host_list_options.hpp
+++ b/libraries/platform/include/godwit/platform/host_list_options.hpp
@@ -18,10 +18,10 @@
     core::duration timeout = std::chrono::seconds(2);
 
     /// The longest wait between tries while the list is not to be had.
-    core::duration longest_wait = std::chrono::seconds(4);
+    core::duration max_backoff = std::chrono::seconds(4);
 
     /// The largest list, in bytes; a larger one fails.
-    std::size_t list_bytes = std::size_t{4} * 1024 * 1024;
+    std::size_t max_list_bytes = std::size_t{4} * 1024 * 1024;
 
     std::uint64_t seed = 0; ///< Of the jitter.
 
--- a/libraries/platform/include/godwit/platform/log_client.hpp
+++ b/libraries/platform/include/godwit/platform/log_client.hpp
@@ -4,8 +4,8 @@
 #include <godwit/http/connection_pool.hpp>
 #include <godwit/http/endpoint.hpp>
 #include <godwit/platform/append_budget.hpp>
-#include <godwit/platform/append_pacing.hpp>
 #include <godwit/platform/append_result.hpp>
+#include <godwit/platform/append_throttling.hpp>
 #include <godwit/platform/log_client_counters.hpp>
 #include <godwit/platform/log_client_options.hpp>
 #include <godwit/platform/log_page.hpp>
@@ -42,7 +42,7 @@
     void append(
         std::string stream,
         std::string data,
-        append_pacing pacing,
+        append_throttling pacing,
         append_callback done);
 
     /// Reads a stream. Fails with `unavailable` or `timeout` in outages,
--- a/libraries/platform/include/godwit/platform/log_client_options.hpp
+++ b/libraries/platform/include/godwit/platform/log_client_options.hpp
@@ -18,7 +18,7 @@
     core::duration read_timeout = std::chrono::seconds(3);
 
     /// The largest answer to one read, in bytes; a larger one fails.
-    std::size_t page_bytes = std::size_t{8} * 1024 * 1024;
+    std::size_t max_page_bytes = std::size_t{8} * 1024 * 1024;
 
     append_budget_options budget;
 
--- a/libraries/platform/src/host_list_client.cpp
+++ b/libraries/platform/src/host_list_client.cpp
@@ -62,8 +62,8 @@
         heard_(list);
         if (stopped_)
             break;
-        wait = list ? options_.interval
-                    : std::min(wait * 2, options_.longest_wait);
+        wait =
+            list ? options_.interval : std::min(wait * 2, options_.max_backoff);
         // The upper half is drawn, so that hosts do not ask together.
         const auto spread = static_cast<std::uint64_t>(wait.count() / 2) + 1;
         const core::duration jittered =
@@ -84,7 +84,7 @@
         *pool_,
         server_,
         std::move(request),
-        {.deadline = options_.timeout, .body_bytes = options_.list_bytes});
+        {.deadline = options_.timeout, .body_bytes = options_.max_list_bytes});
     co_return read_hosts_answer(answer);
 }
 
--- a/libraries/platform/src/log_client.cpp
+++ b/libraries/platform/src/log_client.cpp
@@ -84,11 +84,11 @@
 void log_client::append(
     std::string stream,
     std::string data,
-    append_pacing pacing,
+    append_throttling pacing,
     append_callback done)
 {
     const auto now = core::monotonic_now();
-    if (pacing == append_pacing::host_share && !budget_.take(now)) {
+    if (pacing == append_throttling::host_share && !budget_.take(now)) {
         ++counters_.appends_refused;
         asio::post(
             pool_->executor(),
@@ -155,7 +155,7 @@
         server_,
         page_request(wanted),
         {.deadline = wanted.wait + options_.read_timeout,
-         .body_bytes = options_.page_bytes});
+         .body_bytes = options_.max_page_bytes});
     auto result = read_page_answer(answer);
     if (!result)
         ++counters_.reads_failed;
--- a/services/agent/src/agent_settings.cpp
+++ b/services/agent/src/agent_settings.cpp
@@ -29,11 +29,11 @@
         read_duration(from, "read_ms", {10ms, 1min}, client.read_timeout));
     client.append_timeout = GODWIT_TRY(
         read_duration(from, "append_ms", {10ms, 1min}, client.append_timeout));
-    client.page_bytes = GODWIT_TRY(read_count(
+    client.max_page_bytes = GODWIT_TRY(read_count(
         from,
         "page_bytes",
         {512L * 1024, 256L * 1024 * 1024},
-        client.page_bytes));
+        client.max_page_bytes));
     client.budget.log_rate = GODWIT_TRY(
         from.get_number("rate", {1, 100000}, client.budget.log_rate));
     client.budget.operators_share = GODWIT_TRY(from.get_number(
@@ -52,8 +52,8 @@
         read_duration(from, "interval_ms", {10ms, 1min}, list.interval));
     list.timeout = GODWIT_TRY(
         read_duration(from, "timeout_ms", {10ms, 1min}, list.timeout));
-    list.longest_wait = GODWIT_TRY(read_duration(
-        from, "longest_wait_ms", {10ms, 1min}, list.longest_wait));
+    list.max_backoff = GODWIT_TRY(
+        read_duration(from, "longest_wait_ms", {10ms, 1min}, list.max_backoff));
     GODWIT_TRY(from.finish());
     return list;
 }
--- a/services/agent/src/catalogue_duty.cpp
+++ b/services/agent/src/catalogue_duty.cpp
@@ -319,7 +319,7 @@
     client_.append(
         stream_name,
         std::move(data),
-        platform::append_pacing::host_share,
+        platform::append_throttling::host_share,
         [self = shared_from_this(),
          records](const platform::append_result& result) {
             if (result) {
--- a/services/agent/src/claims_duty.cpp
+++ b/services/agent/src/claims_duty.cpp
@@ -115,7 +115,7 @@
     client_.append(
         stream_name,
         action.data,
-        platform::append_pacing::caller,
+        platform::append_throttling::caller,
         [self = shared_from_this(),
          append = action.append](const platform::append_result& result) {
             self->append_done(append, result);
--- a/services/agent/src/orders_duty.cpp
+++ b/services/agent/src/orders_duty.cpp
@@ -155,7 +155,7 @@
     client_.append(
         stream_name,
         action.data,
-        platform::append_pacing::host_share,
+        platform::append_throttling::host_share,
         [self = shared_from_this(),
          append = action.append](const platform::append_result& result) {
             if (result)
--- a/utilities/godwitctl/catalogue_log.cpp
+++ b/utilities/godwitctl/catalogue_log.cpp
@@ -42,7 +42,7 @@
     client_->append(
         catalogue_stream,
         data,
-        platform::append_pacing::host_share,
+        platform::append_throttling::host_share,
         [&answer](platform::append_result result) {
             answer = std::move(result);
         });
