--- a/libraries/wire/include/godwit/wire/backoff.hpp
+++ b/libraries/wire/include/godwit/wire/backoff.hpp
@@ -13,14 +13,14 @@
 {
 public:
     backoff(const backoff_options& options, std::uint64_t seed) noexcept
-        : options_(options), random_(seed), ceiling_(options.first)
+        : options_(options), random_(seed), ceiling_(options.initial_delay)
     {}
 
     /// The wait before the next try.
     [[nodiscard]] core::duration next() noexcept;
 
     /// Called after a success: the next wait is short again.
-    void reset() noexcept { ceiling_ = options_.first; }
+    void reset() noexcept { ceiling_ = options_.initial_delay; }
 
 private:
     backoff_options options_;
