--- a/libraries/catalogue/bench/main.cpp
+++ b/libraries/catalogue/bench/main.cpp
@@ -34,7 +34,7 @@
     catalogue::organisation value;
     value.name = core::organisation_name(organisation_name(index));
     value.owner = core::operator_name("ana");
-    value.default_class = core::class_name("interactive");
+    value.default_class = core::request_class_name("interactive");
     std::string hash(64, 'a');
     const std::string digits = std::to_string(index);
     hash.replace(0, digits.size(), digits);
@@ -50,7 +50,7 @@
 catalogue::change make_class()
 {
     catalogue::request_class value;
-    value.name = core::class_name("interactive");
+    value.name = core::request_class_name("interactive");
     value.owner = core::operator_name("ana");
     return {
         {catalogue::entry_kind::request_class, "interactive"},
--- a/libraries/catalogue/include/godwit/catalogue/organisation.hpp
+++ b/libraries/catalogue/include/godwit/catalogue/organisation.hpp
@@ -15,7 +15,7 @@
     core::organisation_name name;
     core::operator_name owner;
     std::uint64_t version = 0; ///< 0 until a change set is accepted.
-    core::class_name default_class;
+    core::request_class_name default_class;
     /// SHA-256 of each bearer token, 64 lower-case hexadecimal digits.
     std::vector<std::string> token_hashes;
     organisation_limits limits;
--- a/libraries/catalogue/include/godwit/catalogue/request_class.hpp
+++ b/libraries/catalogue/include/godwit/catalogue/request_class.hpp
@@ -11,7 +11,7 @@
 /// How the requests of one class share the engines with the other classes.
 struct request_class
 {
-    core::class_name name;
+    core::request_class_name name;
     core::operator_name owner;
     std::uint64_t version = 0; ///< 0 until a change set is accepted.
     std::uint32_t weight = 1;  ///< Share of tokens above the floors.
--- a/libraries/catalogue/include/godwit/catalogue/service.hpp
+++ b/libraries/catalogue/include/godwit/catalogue/service.hpp
@@ -17,7 +17,7 @@
     core::service_name name;
     core::operator_name owner;
     std::uint64_t version = 0; ///< 0 until a change set is accepted.
-    core::class_name default_class;
+    core::request_class_name default_class;
     service_kind kind = service_kind::plain;
     std::string model;         ///< Empty for a plain service.
     std::string adapter;       ///< Empty: none.
--- a/libraries/catalogue/include/godwit/catalogue/state.hpp
+++ b/libraries/catalogue/include/godwit/catalogue/state.hpp
@@ -46,7 +46,7 @@
     [[nodiscard]] std::shared_ptr<const service>
     find_service(const core::service_name& name) const;
     [[nodiscard]] std::shared_ptr<const request_class>
-    find_class(const core::class_name& name) const;
+    find_class(const core::request_class_name& name) const;
 
     /// The organisation with a bearer token of this SHA-256 (64 lower-case
     /// hexadecimal digits), or null.
--- a/libraries/catalogue/src/cross_checks.cpp
+++ b/libraries/catalogue/src/cross_checks.cpp
@@ -23,7 +23,9 @@
 }
 
 std::optional<refusal> check_class_exists(
-    const state& after, const core::class_name& name, const std::string& path)
+    const state& after,
+    const core::request_class_name& name,
+    const std::string& path)
 {
     if (after.find_class(name))
         return std::nullopt;
--- a/libraries/catalogue/src/entry_codec.cpp
+++ b/libraries/catalogue/src/entry_codec.cpp
@@ -168,7 +168,8 @@
     value.name = core::organisation_name(GODWIT_TRY(reader.name("name")));
     value.owner = core::operator_name(GODWIT_TRY(reader.name("owner")));
     value.version = GODWIT_TRY(read_version(reader, version));
-    value.default_class = core::class_name(GODWIT_TRY(reader.name("class")));
+    value.default_class =
+        core::request_class_name(GODWIT_TRY(reader.name("class")));
     value.token_hashes = GODWIT_TRY(read_token_hashes(reader));
     value.limits = GODWIT_TRY(read_organisation_limits(reader));
     return reader.finish(std::move(value));
@@ -289,7 +290,8 @@
     value.name = core::service_name(GODWIT_TRY(reader.name("name")));
     value.owner = core::operator_name(GODWIT_TRY(reader.name("owner")));
     value.version = GODWIT_TRY(read_version(reader, version));
-    value.default_class = core::class_name(GODWIT_TRY(reader.name("class")));
+    value.default_class =
+        core::request_class_name(GODWIT_TRY(reader.name("class")));
     value.kind = GODWIT_TRY(read_service_kind(reader));
     value.model = GODWIT_TRY(reader.text("model", presence::optional));
     value.adapter = GODWIT_TRY(reader.text("adapter", presence::optional));
@@ -331,7 +333,7 @@
 decode_class(object_reader& reader, version_field version)
 {
     request_class value;
-    value.name = core::class_name(GODWIT_TRY(reader.name("name")));
+    value.name = core::request_class_name(GODWIT_TRY(reader.name("name")));
     value.owner = core::operator_name(GODWIT_TRY(reader.name("owner")));
     value.version = GODWIT_TRY(read_version(reader, version));
     value.weight =
--- a/libraries/catalogue/src/state.cpp
+++ b/libraries/catalogue/src/state.cpp
@@ -25,7 +25,7 @@
 }
 
 std::shared_ptr<const request_class>
-state::find_class(const core::class_name& name) const
+state::find_class(const core::request_class_name& name) const
 {
     return classes_.find(name.value());
 }
--- a/libraries/core/include/godwit/core/identifiers.hpp
+++ b/libraries/core/include/godwit/core/identifiers.hpp
@@ -11,7 +11,7 @@
 using service_name = identifier<struct service_name_tag>;
 
 /// A class of requests (for example interactive, report, confirmation).
-using class_name = identifier<struct class_name_tag>;
+using request_class_name = identifier<struct request_class_name_tag>;
 
 /// An operator who owns catalogue entries.
 using operator_name = identifier<struct operator_name_tag>;
--- a/libraries/dispatch/include/godwit/dispatch/class_policy.hpp
+++ b/libraries/dispatch/include/godwit/dispatch/class_policy.hpp
@@ -11,7 +11,7 @@
 struct class_policy
 {
     /// The class.
-    core::class_name name;
+    core::request_class_name name;
     /// Its share of tokens against other classes, above 0.
     double weight = 1.0;
     /// Share of each engine's memory kept for it, 0 to 1.
--- a/libraries/dispatch/include/godwit/dispatch/length_estimator.hpp
+++ b/libraries/dispatch/include/godwit/dispatch/length_estimator.hpp
@@ -23,7 +23,7 @@
     /// A generation of the group grew from `from` to `to` tokens.
     void progressed(
         const core::service_name& service,
-        const core::class_name& class_of_service,
+        const core::request_class_name& class_of_service,
         std::uint32_t from,
         std::uint32_t to);
 
@@ -31,7 +31,7 @@
     /// cut must not be told here: its growth already was.
     void ended(
         const core::service_name& service,
-        const core::class_name& class_of_service,
+        const core::request_class_name& class_of_service,
         std::uint32_t tokens);
 
     /// The number of further tokens that a generation which has `so_far`
@@ -39,7 +39,7 @@
     /// long was seen yet.
     [[nodiscard]] std::optional<std::uint32_t> remaining(
         const core::service_name& service,
-        const core::class_name& class_of_service,
+        const core::request_class_name& class_of_service,
         std::uint32_t so_far,
         double quantile) const;
 
@@ -50,7 +50,7 @@
     }
 
 private:
-    using group_key = std::pair<core::service_name, core::class_name>;
+    using group_key = std::pair<core::service_name, core::request_class_name>;
 
     [[nodiscard]] length_histogram* find_or_add(const group_key& key);
 
--- a/libraries/dispatch/include/godwit/dispatch/request_arrived.hpp
+++ b/libraries/dispatch/include/godwit/dispatch/request_arrived.hpp
@@ -19,7 +19,7 @@
     /// The service it addresses.
     core::service_name service;
     /// Its class.
-    core::class_name class_of_service;
+    core::request_class_name class_of_service;
     /// Generation or call.
     request_kind kind = request_kind::generation;
     /// Estimated tokens of the prompt.
--- a/libraries/dispatch/src/length_estimator.cpp
+++ b/libraries/dispatch/src/length_estimator.cpp
@@ -6,7 +6,7 @@
 
 // The group of a service over its classes, and of all services, have empty
 // names; the catalogue allows none.
-const core::class_name any_class;
+const core::request_class_name any_class;
 const core::service_name any_service;
 
 } // namespace
@@ -23,7 +23,7 @@
 
 void length_estimator::progressed(
     const core::service_name& service,
-    const core::class_name& class_of_service,
+    const core::request_class_name& class_of_service,
     std::uint32_t from,
     std::uint32_t to)
 {
@@ -38,7 +38,7 @@
 
 void length_estimator::ended(
     const core::service_name& service,
-    const core::class_name& class_of_service,
+    const core::request_class_name& class_of_service,
     std::uint32_t tokens)
 {
     for (const group_key& key :
@@ -52,7 +52,7 @@
 
 std::optional<std::uint32_t> length_estimator::remaining(
     const core::service_name& service,
-    const core::class_name& class_of_service,
+    const core::request_class_name& class_of_service,
     std::uint32_t so_far,
     double quantile) const
 {
--- a/libraries/dispatch/src/scheduler_implementation.cpp
+++ b/libraries/dispatch/src/scheduler_implementation.cpp
@@ -60,7 +60,7 @@
     }
     // Requests of classes that the catalogue does not name share one queue.
     service.classes.try_emplace(
-        core::class_name(), class_policy(), organisations_);
+        core::request_class_name(), class_policy(), organisations_);
     for (const class_policy& limits : policy_.classes) {
         const auto [found, added] =
             service.classes.try_emplace(limits.name, limits, organisations_);
@@ -88,12 +88,12 @@
 }
 
 class_queue& scheduler::implementation::class_of(
-    service_queue& service, const core::class_name& name)
+    service_queue& service, const core::request_class_name& name)
 {
     const auto found = service.classes.find(name);
     if (found != service.classes.end())
         return found->second;
-    return service.classes.find(core::class_name())->second;
+    return service.classes.find(core::request_class_name())->second;
 }
 
 void scheduler::implementation::take(const servers_changed& input)
--- a/libraries/dispatch/src/scheduler_implementation.hpp
+++ b/libraries/dispatch/src/scheduler_implementation.hpp
@@ -51,7 +51,7 @@
     [[nodiscard]] service_queue& service_of(const core::service_name& name);
     [[nodiscard]] service_queue* known_service(const core::service_name& name);
     [[nodiscard]] class_queue&
-    class_of(service_queue& service, const core::class_name& name);
+    class_of(service_queue& service, const core::request_class_name& name);
 
     void apply_classes(service_queue& service);
     void list_servers(service_queue& service);
--- a/libraries/dispatch/src/service_queue.hpp
+++ b/libraries/dispatch/src/service_queue.hpp
@@ -17,7 +17,7 @@
 struct service_queue
 {
     service_policy limits;
-    std::map<core::class_name, class_queue> classes;
+    std::map<core::request_class_name, class_queue> classes;
     /// Eligible servers, those of the own availability zone first.
     std::vector<server_account*> servers;
     std::size_t own_zone_servers = 0;
--- a/libraries/request/include/godwit/request/events.hpp
+++ b/libraries/request/include/godwit/request/events.hpp
@@ -19,7 +19,7 @@
 {
     core::organisation_name organisation;
     core::service_name service;
-    core::class_name request_class;
+    core::request_class_name request_class;
     request_kind kind = request_kind::generation;
     answer_mode mode = answer_mode::streamed;
     repeatability repeat = repeatability::repeatable;
--- a/libraries/telemetry/include/godwit/telemetry/labels.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/labels.hpp
@@ -12,7 +12,7 @@
 struct labels
 {
     core::service_name service;
-    core::class_name request_class;
+    core::request_class_name request_class;
     std::optional<core::outcome> outcome = std::nullopt;
 
     friend bool operator==(const labels&, const labels&) = default;
--- a/libraries/telemetry/include/godwit/telemetry/request_metrics.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/request_metrics.hpp
@@ -17,7 +17,7 @@
     request_metrics(
         metrics& into,
         core::service_name service,
-        core::class_name request_class,
+        core::request_class_name request_class,
         core::time_point accepted_at);
 
     /// Tokens were handed to the caller, or collected for it.
--- a/libraries/telemetry/src/metrics.cpp
+++ b/libraries/telemetry/src/metrics.cpp
@@ -62,7 +62,8 @@
                 label_sets_.insert(pair);
             else
                 pair = labels{
-                    core::service_name("other"), core::class_name("other")};
+                    core::service_name("other"),
+                    core::request_class_name("other")};
         }
     }
     prometheus::Labels native{
--- a/libraries/telemetry/src/request_metrics.cpp
+++ b/libraries/telemetry/src/request_metrics.cpp
@@ -18,7 +18,7 @@
 request_metrics::request_metrics(
     metrics& into,
     core::service_name service,
-    core::class_name request_class,
+    core::request_class_name request_class,
     core::time_point accepted_at)
     : into_(into), labels_{std::move(service), std::move(request_class)},
       gaps_(into.seconds_histogram(
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -47,7 +47,7 @@
       metrics_(
           *context.metrics,
           call_.service.name,
-          core::class_name(call_.route.name),
+          core::request_class_name(call_.route.name),
           call_.arrival_time)
 {}
 
--- a/services/entry/src/call_dispatcher.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -156,7 +156,7 @@
             "godwit_unrouted_total",
             "Requests without a route, a known key or a table.",
             {core::service_name("none"),
-             core::class_name(std::string(to_string(reason))),
+             core::request_class_name(std::string(to_string(reason))),
              outcome_of(reason)})
         .Increment();
     const bool can_come_back = reason == refusal_reason::no_routes;
--- a/services/entry/src/stream_call_migration.cpp
+++ b/services/entry/src/stream_call_migration.cpp
@@ -166,7 +166,7 @@
             "godwit_migrations_total",
             "Running generations that went on at another server.",
             {call_->service.name,
-             core::class_name(call_->route.name),
+             core::request_class_name(call_->route.name),
              runs ? core::outcome::completed : core::outcome::interrupted})
         .Increment();
     log_migration(
--- a/services/proxy/caller_request.hpp
+++ b/services/proxy/caller_request.hpp
@@ -21,7 +21,7 @@
 {
     std::shared_ptr<const catalogue::organisation> organisation;
     std::shared_ptr<const catalogue::service> service;
-    core::class_name request_class;
+    core::request_class_name request_class;
     request::request_kind kind = request::request_kind::generation;
     request::answer_mode mode = request::answer_mode::whole;
     request::repeatability repeat = request::repeatability::repeatable;
--- a/services/proxy/caller_request_reader.cpp
+++ b/services/proxy/caller_request_reader.cpp
@@ -261,21 +261,21 @@
 
 // Who asks decides how its generations share the engines; a call is of the
 // class of what it calls.
-core::class_name default_class(const caller_request& request)
+core::request_class_name default_class(const caller_request& request)
 {
     return request.kind == request::request_kind::generation
                ? request.organisation->default_class
                : request.service->default_class;
 }
 
-outcome_of<core::class_name> read_class(
+outcome_of<core::request_class_name> read_class(
     const std::optional<std::string>& named,
     const catalogue::state& from,
     const caller_request& request)
 {
     if (!named)
         return default_class(request);
-    core::class_name name(*named);
+    core::request_class_name name(*named);
     if (!from.find_class(name))
         return refuse(
             400,
--- a/tests/agent/fleet.cpp
+++ b/tests/agent/fleet.cpp
@@ -32,7 +32,7 @@
     const core::operator_name owner("mojca");
     if (number == 0) {
         catalogue::request_class value;
-        value.name = core::class_name("interactive");
+        value.name = core::request_class_name("interactive");
         value.owner = owner;
         return value;
     }
@@ -40,7 +40,7 @@
     value.name =
         core::organisation_name("organisation-" + std::to_string(number));
     value.owner = owner;
-    value.default_class = core::class_name("interactive");
+    value.default_class = core::request_class_name("interactive");
     value.limits = {10, 1000};
     return value;
 }
--- a/tests/catalogue/catalogue_sample.hpp
+++ b/tests/catalogue/catalogue_sample.hpp
@@ -12,7 +12,7 @@
 inline change make_class(const std::string& name, std::uint64_t expected = 0)
 {
     request_class value;
-    value.name = core::class_name(name);
+    value.name = core::request_class_name(name);
     value.owner = core::operator_name("ana");
     value.weight = 1;
     return {{entry_kind::request_class, name}, expected, entry(value)};
@@ -27,7 +27,7 @@
     organisation value;
     value.name = core::organisation_name(name);
     value.owner = core::operator_name("ana");
-    value.default_class = core::class_name("interactive");
+    value.default_class = core::request_class_name("interactive");
     value.limits = {concurrency, 1000};
     return {{entry_kind::organisation, name}, expected, entry(value)};
 }
--- a/tests/catalogue/codec_test.cpp
+++ b/tests/catalogue/codec_test.cpp
@@ -116,7 +116,7 @@
             example_with(
                 "\"weight\": 4", "\"longest_wait_ms\": 5000, \"weight\": 4"));
         const auto interactive =
-            state_->find_class(godwit::core::class_name("interactive"));
+            state_->find_class(godwit::core::request_class_name("interactive"));
         CPPUNIT_ASSERT(
             interactive->longest_wait == std::chrono::milliseconds(5000));
         const entry same(*interactive);
--- a/tests/dispatch/fairness_test.cpp
+++ b/tests/dispatch/fairness_test.cpp
@@ -120,8 +120,8 @@
     {
         dispatch::policy_changed policy;
         policy.value.classes.resize(2);
-        policy.value.classes[0].name = core::class_name("l");
-        policy.value.classes[1].name = core::class_name("s");
+        policy.value.classes[0].name = core::request_class_name("l");
+        policy.value.classes[1].name = core::request_class_name("s");
         return policy;
     }
 
--- a/tests/dispatch/length_estimator_test.cpp
+++ b/tests/dispatch/length_estimator_test.cpp
@@ -9,13 +9,13 @@
 using namespace godwit;
 
 const core::service_name service("llm");
-const core::class_name report("report");
-const core::class_name tag("tag");
+const core::request_class_name report("report");
+const core::request_class_name tag("tag");
 
 void observe(
     dispatch::length_estimator& estimator,
     const core::service_name& of_service,
-    const core::class_name& of_class,
+    const core::request_class_name& of_class,
     std::uint32_t length)
 {
     estimator.progressed(of_service, of_class, 0, length);
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT(!estimator.remaining(service, report, 0, 0.5));
         for (int count = 0; count < 50; ++count)
             observe(estimator, service, report, 2000);
-        const core::class_name fresh("new");
+        const core::request_class_name fresh("new");
         CPPUNIT_ASSERT(*estimator.remaining(service, fresh, 0, 0.5) > 1500);
         const core::service_name other("other");
         CPPUNIT_ASSERT(*estimator.remaining(other, fresh, 0, 0.5) > 1500);
--- a/tests/dispatch/preemption_test.cpp
+++ b/tests/dispatch/preemption_test.cpp
@@ -69,7 +69,7 @@
         scheduler_fixture fixture;
         dispatch::policy_changed policy;
         dispatch::class_policy limits;
-        limits.name = core::class_name("urgent");
+        limits.name = core::request_class_name("urgent");
         limits.priority = 50;
         policy.value.classes = {limits};
         fixture.tell(policy);
--- a/tests/dispatch/refusal_test.cpp
+++ b/tests/dispatch/refusal_test.cpp
@@ -146,7 +146,7 @@
         scheduler_fixture fixture;
         dispatch::policy_changed policy;
         dispatch::class_policy limits;
-        limits.name = core::class_name("hasty");
+        limits.name = core::request_class_name("hasty");
         limits.longest_wait = 2s;
         policy.value.classes = {limits};
         fixture.tell(policy);
--- a/tests/dispatch/scheduler_fixture.hpp
+++ b/tests/dispatch/scheduler_fixture.hpp
@@ -69,7 +69,8 @@
         event.id = godwit::core::request_id(id);
         event.organisation = godwit::core::organisation_name(organisation);
         event.service = godwit::core::service_name("llm");
-        event.class_of_service = godwit::core::class_name(class_of_service);
+        event.class_of_service =
+            godwit::core::request_class_name(class_of_service);
         event.prompt_tokens = 10;
         event.max_tokens = 100;
         return event;
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-using godwit::core::class_name;
+using godwit::core::request_class_name;
 using godwit::core::service_name;
 using godwit::core::time_point;
 using godwit::telemetry::bounded_sink;
@@ -64,7 +64,7 @@
                     "requests_total",
                     "Requests.",
                     {service_name("s" + std::to_string(index)),
-                     class_name("c"),
+                     request_class_name("c"),
                      godwit::core::outcome::completed})
                 .Increment();
         const auto text = values->serialise();
--- a/utilities/godwit-bench/baseline.hpp
+++ b/utilities/godwit-bench/baseline.hpp
@@ -55,7 +55,7 @@
     priority_of(const dispatch::request_arrived& request) const;
 
     baseline_choice choice_;
-    std::map<core::class_name, int> priorities_;
+    std::map<core::request_class_name, int> priorities_;
     core::random random_;
     std::size_t turn_ = 0;
     std::map<core::server_address, server> servers_;
--- a/utilities/godwit-bench/policy_events.cpp
+++ b/utilities/godwit-bench/policy_events.cpp
@@ -96,7 +96,7 @@
         variation.organisations ? std::to_string(request.organisation) : "all");
     event.service =
         run.is_call(request) ? plain_service_name() : model_service_name();
-    event.class_of_service = core::class_name(
+    event.class_of_service = core::request_class_name(
         variation.classes ? kind.name : run.plan.classes.front().name);
     event.kind = kind.kind;
     event.times_preempted = request.preemptions;
--- a/utilities/godwit-bench/workload.cpp
+++ b/utilities/godwit-bench/workload.cpp
@@ -187,7 +187,7 @@
          .patience = 30s,
          .is_long = true,
          .limits =
-             {.name = core::class_name("history"),
+             {.name = core::request_class_name("history"),
               .weight = 3.0,
               .memory_floor = 0.0,
               .start_floor = 0.2,
@@ -199,7 +199,7 @@
          .length = {.median = 14, .sigma = 0.5, .least = 2, .most = 64},
          .patience = 10s,
          .limits =
-             {.name = core::class_name("check"),
+             {.name = core::request_class_name("check"),
               .weight = 1.0,
               .memory_floor = 0.06,
               .start_floor = 0.2,
@@ -210,7 +210,7 @@
          .share = 8.0,
          .patience = 5s,
          .limits = {
-             .name = core::class_name("lookup"),
+             .name = core::request_class_name("lookup"),
              .longest_wait = std::nullopt}}};
     return result;
 }
@@ -238,7 +238,7 @@
          .patience = 120s,
          .is_long = true,
          .limits =
-             {.name = core::class_name("report"),
+             {.name = core::request_class_name("report"),
               .weight = 3.0,
               .memory_floor = 0.0,
               .start_floor = 0.1,
@@ -250,7 +250,7 @@
          .length = {.median = 25, .sigma = 0.5, .least = 4, .most = 128},
          .patience = 15s,
          .limits =
-             {.name = core::class_name("tag"),
+             {.name = core::request_class_name("tag"),
               .weight = 1.0,
               .memory_floor = 0.06,
               .start_floor = 0.2,
@@ -261,7 +261,7 @@
          .share = 10.0,
          .patience = 5s,
          .limits = {
-             .name = core::class_name("confirmation"),
+             .name = core::request_class_name("confirmation"),
              .longest_wait = std::nullopt}}};
     return result;
 }
--- a/utilities/godwit-capacity/dispatch_sweep.cpp
+++ b/utilities/godwit-capacity/dispatch_sweep.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t token_reports_measured = 4'000;
 const core::service_name service("model");
 const core::zone_name zone("zone-1");
-const core::class_name interactive("interactive");
+const core::request_class_name interactive("interactive");
 
 /// One scheduler before engines that are all fresh, and its requests in the
 /// order of their starts.
