--- a/libraries/settings/src/early_exit.cpp
+++ b/libraries/settings/src/early_exit.cpp
@@ -11,7 +11,7 @@
 
 int early_exit::report() const
 {
-    if (code_ == exit_code::done)
+    if (code_ == exit_code::success)
         std::cout << text_ << std::endl;
     else
         std::cerr << text_ << std::endl;
--- a/libraries/settings/src/program_options.cpp
+++ b/libraries/settings/src/program_options.cpp
@@ -24,7 +24,7 @@
 wrong_usage(std::string_view program, const std::string& what)
 {
     return tl::unexpected(early_exit(
-        exit_code::usage,
+        exit_code::usage_error,
         std::string(program) + ": " + what + "; see " + std::string(program) +
             " --help"));
 }
@@ -62,10 +62,10 @@
         switch (found) {
         case 'h':
             return tl::unexpected(
-                early_exit(exit_code::done, help(program, summary)));
+                early_exit(exit_code::success, help(program, summary)));
         case 'v':
             return tl::unexpected(early_exit(
-                exit_code::done,
+                exit_code::success,
                 std::string(program) + " " + std::string(version)));
         case 'c':
             config_file = optarg;
--- a/services/agent/main.cpp
+++ b/services/agent/main.cpp
@@ -40,7 +40,7 @@
     boost::asio::io_context context(1);
     auto made = agent::agent::create(context, std::move(settings));
     if (!made)
-        return fail(exit_code::refused, made.error());
+        return fail(exit_code::failure, made.error());
     const auto& agent = *made;
     boost::asio::signal_set signals(context, SIGINT, SIGTERM);
     signals.async_wait([&](const boost::system::error_code& code, int) {
@@ -56,7 +56,7 @@
               << "\nframes=tcp://" << agent->frames_address() << std::endl;
     agent->start([] { std::cout << "ready" << std::endl; });
     context.run();
-    return static_cast<int>(exit_code::done);
+    return static_cast<int>(exit_code::success);
 }
 
 } // namespace
@@ -69,8 +69,8 @@
         return options.error().report();
     auto settings = load(options->config_file());
     if (!settings)
-        return fail(exit_code::settings, settings.error());
+        return fail(exit_code::settings_error, settings.error());
     if (options->check_only())
-        return static_cast<int>(exit_code::done);
+        return static_cast<int>(exit_code::success);
     return run(std::move(*settings));
 }
--- a/services/proxy/main.cpp
+++ b/services/proxy/main.cpp
@@ -48,14 +48,14 @@
         return options.error().report();
     auto settings = load(options->config_file());
     if (!settings)
-        return fail(settings.error(), exit_code::settings);
+        return fail(settings.error(), exit_code::settings_error);
     if (options->check_only())
-        return static_cast<int>(exit_code::done);
+        return static_cast<int>(exit_code::success);
 
     godwit::telemetry::start_log(
         settings->log_level, settings->host, settings->zone);
     auto process = godwit::proxy::proxy_process::create(*std::move(settings));
     if (!process)
-        return fail(process.error(), exit_code::refused);
+        return fail(process.error(), exit_code::failure);
     return static_cast<int>((*process)->run());
 }
--- a/services/proxy/proxy_process.cpp
+++ b/services/proxy/proxy_process.cpp
@@ -232,13 +232,13 @@
     const auto taken = take_static_catalogue();
     if (!taken) {
         std::cerr << "godwit-proxy: " << taken.error().to_string() << '\n';
-        return settings::exit_code::settings;
+        return settings::exit_code::settings_error;
     }
     if (agent_)
         agent_->start();
     run_threads();
-    return cut_requests_ == 0 ? settings::exit_code::done
-                              : settings::exit_code::refused;
+    return cut_requests_ == 0 ? settings::exit_code::success
+                              : settings::exit_code::failure;
 }
 
 void proxy_process::run_threads()
--- a/utilities/godwitctl/check_command.cpp
+++ b/utilities/godwitctl/check_command.cpp
@@ -55,7 +55,7 @@
         print_json(boost::json::object{{"result", *done}});
     else
         std::cout << *done << "\n";
-    return settings::exit_code::done;
+    return settings::exit_code::success;
 }
 
 } // namespace godwit::ctl
--- a/utilities/godwitctl/command_line.cpp
+++ b/utilities/godwitctl/command_line.cpp
@@ -69,7 +69,8 @@
 tl::unexpected<early_exit> wrong_usage(const std::string& what)
 {
     return tl::unexpected(early_exit(
-        exit_code::usage, "godwitctl: " + what + "; see godwitctl --help"));
+        exit_code::usage_error,
+        "godwitctl: " + what + "; see godwitctl --help"));
 }
 
 core::result<std::vector<http::endpoint>> parse_urls(std::string_view text)
@@ -131,10 +132,10 @@
 {
     switch (found) {
     case 'h':
-        return tl::unexpected(early_exit(exit_code::done, help_text));
+        return tl::unexpected(early_exit(exit_code::success, help_text));
     case 'v':
         return tl::unexpected(
-            early_exit(exit_code::done, "godwitctl " GODWIT_VERSION));
+            early_exit(exit_code::success, "godwitctl " GODWIT_VERSION));
     case 'j':
         line.as_json = true;
         return {};
@@ -203,7 +204,8 @@
             continue;
         if (auto read = read_environment(line); !read)
             return tl::unexpected(early_exit(
-                exit_code::settings, "godwitctl: " + read.error().to_string()));
+                exit_code::settings_error,
+                "godwitctl: " + read.error().to_string()));
         if (auto checked = check_needs(line, rule); !checked)
             return tl::unexpected(std::move(checked).error());
         line.what = rule.what;
--- a/utilities/godwitctl/get_command.cpp
+++ b/utilities/godwitctl/get_command.cpp
@@ -32,7 +32,7 @@
         return report_failure(key.error());
     if (const auto found = content.find(*key)) {
         print_json(catalogue::to_json(*found));
-        return settings::exit_code::done;
+        return settings::exit_code::success;
     }
     const auto gone = content.find_tombstone(*key);
     return report_failure(
@@ -81,7 +81,7 @@
         print_entries(**content);
     else
         print_table(**content);
-    return settings::exit_code::done;
+    return settings::exit_code::success;
 }
 
 } // namespace godwit::ctl
--- a/utilities/godwitctl/history_command.cpp
+++ b/utilities/godwitctl/history_command.cpp
@@ -79,7 +79,7 @@
     }
     if (line.as_json)
         print_json(rows);
-    return settings::exit_code::done;
+    return settings::exit_code::success;
 }
 
 } // namespace godwit::ctl
--- a/utilities/godwitctl/inspect_commands.cpp
+++ b/utilities/godwitctl/inspect_commands.cpp
@@ -20,7 +20,7 @@
     if (!answer)
         return report_failure(answer.error());
     print_json(*answer);
-    return settings::exit_code::done;
+    return settings::exit_code::success;
 }
 
 } // namespace
@@ -46,7 +46,7 @@
     if (!hash)
         return report_failure(hash.error());
     std::cout << *hash << "\n";
-    return settings::exit_code::done;
+    return settings::exit_code::success;
 }
 
 } // namespace godwit::ctl
--- a/utilities/godwitctl/main.cpp
+++ b/utilities/godwitctl/main.cpp
@@ -27,7 +27,7 @@
     case command::hash_token:
         return run_hash_token(line);
     }
-    return exit_code::usage;
+    return exit_code::usage_error;
 }
 
 } // namespace
--- a/utilities/godwitctl/publish_command.cpp
+++ b/utilities/godwitctl/publish_command.cpp
@@ -49,7 +49,7 @@
         std::cerr << "godwitctl: refused ("
                   << to_string(decision->refused->reason)
                   << "): " << decision->refused->detail.to_string() << "\n";
-        return settings::exit_code::refused;
+        return settings::exit_code::failure;
     }
     if (line.wait) {
         const auto waited =
@@ -58,7 +58,7 @@
             return report_failure(waited.error());
     }
     print_accepted(line, *decision);
-    return settings::exit_code::done;
+    return settings::exit_code::success;
 }
 
 } // namespace godwit::ctl
--- a/utilities/godwitctl/report.cpp
+++ b/utilities/godwitctl/report.cpp
@@ -9,7 +9,7 @@
 settings::exit_code report_failure(const core::error& failure)
 {
     std::cerr << "godwitctl: " << failure.to_string() << "\n";
-    return settings::exit_code::refused;
+    return settings::exit_code::failure;
 }
 
 void print_json(const boost::json::value& value)
--- a/utilities/godwitctl/status_command.cpp
+++ b/utilities/godwitctl/status_command.cpp
@@ -68,7 +68,8 @@
     }
     if (line.as_json)
         print_json(rows);
-    return healthy ? settings::exit_code::done : settings::exit_code::refused;
+    return healthy ? settings::exit_code::success
+                   : settings::exit_code::failure;
 }
 
 } // namespace godwit::ctl
