--- a/libraries/admission/include/godwit/admission/generation_parameters.hpp
+++ b/libraries/admission/include/godwit/admission/generation_parameters.hpp
@@ -5,12 +5,12 @@
 
 namespace godwit::admission {
 
-/// How large a generation is, as its caller says.
+/// The size of a generation as stated by its caller.
 struct generation_parameters
 {
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_output_tokens = 0;
-    /// The caller's guess; right at the median, often far off.
+    /// The caller's estimate: right at the median, often far off.
     std::optional<std::uint32_t> expected_output_tokens;
 
     friend bool operator==(
--- a/libraries/admission/include/godwit/admission/generation_size.hpp
+++ b/libraries/admission/include/godwit/admission/generation_size.hpp
@@ -7,28 +7,29 @@
 
 namespace godwit::admission {
 
-/// What a generation asks of an engine, by its caller's word and by what it
-/// has written so far.
+/// The load that a generation puts on an engine, estimated from its
+/// parameters and the tokens written so far.
 class generation_size
 {
 public:
     [[nodiscard]] static generation_size create(
-        const generation_parameters& terms,
+        const generation_parameters& parameters,
         std::uint64_t written_tokens) noexcept;
 
-    /// Output that room is planned for: the caller's guess with a margin.
+    /// The output that memory is planned for: the caller's estimate with a
+    /// margin.
     [[nodiscard]] std::uint64_t expected_output_tokens() const noexcept;
 
-    /// Of the expected output, what is still to be written.
+    /// The part of the expected output that is still to be written.
     [[nodiscard]] std::uint64_t tokens_left() const noexcept;
 
-    /// Whether it gives its memory back within a moment of its start.
+    /// Whether it frees its memory shortly after its start.
     [[nodiscard]] bool is_short() const noexcept;
 
-    /// Its load at a server that reads its prompt, or has read it.
+    /// Its load at the server that prefills its prompt, or has done so.
     [[nodiscard]] placement::work_size work() const noexcept;
 
-    /// Its load at a server to which its memory moves.
+    /// Its load at the server that its KV cache is migrated to.
     [[nodiscard]] placement::work_size migrated_work() const noexcept;
 
     friend bool
@@ -36,12 +37,12 @@
 
 private:
     generation_size(
-        const generation_parameters& terms,
+        const generation_parameters& parameters,
         std::uint64_t written_tokens) noexcept
-        : terms_(terms), written_tokens_(written_tokens)
+        : parameters_(parameters), written_tokens_(written_tokens)
     {}
 
-    generation_parameters terms_;
+    generation_parameters parameters_;
     std::uint64_t written_tokens_;
 };
 
--- a/libraries/admission/include/godwit/admission/make_placement_request.hpp
+++ b/libraries/admission/include/godwit/admission/make_placement_request.hpp
@@ -9,12 +9,12 @@
 
 namespace godwit::admission {
 
-/// What a request that waits asks of the placer. `size` is absent where its
-/// caller says nothing of a generation.
+/// Returns the placement request of a waiting request. `size` is absent if
+/// the caller did not state the size of a generation.
 [[nodiscard]] placement::placement_request make_placement_request(
     const routing::service& service,
     const std::optional<generation_size>& size,
-    const wait_policy& plan,
+    const wait_policy& policy,
     wait_stage stage);
 
 } // namespace godwit::admission
--- a/libraries/admission/include/godwit/admission/wait_policy.hpp
+++ b/libraries/admission/include/godwit/admission/wait_policy.hpp
@@ -6,11 +6,11 @@
 
 namespace godwit::admission {
 
-/// What is known of a request that wants room.
+/// The properties of a request that determine how long it waits for capacity.
 struct wait_parameters
 {
-    core::time_point arrived;
-    core::time_point ends;      ///< Its caller leaves then.
+    core::time_point arrival_time;
+    core::time_point deadline;  ///< When its caller disconnects.
     core::duration objective{}; ///< Until its first event.
     int priority = 0;           ///< 0 is the most urgent.
 
@@ -18,55 +18,58 @@
     operator==(const wait_parameters&, const wait_parameters&) = default;
 };
 
-/// Why a request waits, or that it does not any more.
+/// How far a request has got in waiting for capacity.
 enum class wait_stage
 {
-    timely, ///< It can still be begun in time.
-    late,   ///< It will be late, and its caller still wants it.
-    over,   ///< It is turned away, and told when to come back.
+    timely, ///< It can still start in time.
+    late,   ///< It will start late, but its caller still waits for it.
+    over,   ///< It is rejected with a time to retry after.
 };
 
-/// The name of `stage` as it appears in logs.
+/// Returns the name of `stage` in logs.
 [[nodiscard]] const char* to_string(wait_stage stage) noexcept;
 
-/// How one request waits for room, when load is above what the engines hold:
-/// in which order, how often it looks, and when it is turned away.
+/// How a request waits for capacity while the engines are overloaded: its
+/// order in the queue, how often it tries to get a server, and when it is
+/// rejected.
 ///
-/// Answers bursts of a few seconds. What can be in time goes first, since
-/// every place that a late request takes makes another one late. What is late
-/// still is served out of what is left over: a caller who waits for minutes
-/// of text wants it late rather than not at all. What would end only after
-/// its caller has left is turned away while it can still come back.
+/// Meant for bursts of a few seconds. Requests that can still start in time go
+/// first, since each late request that is served before them makes another one
+/// late. Late requests get the remaining capacity: a caller who waits minutes
+/// for a text prefers a late one to none. A request that would end only after
+/// its caller has disconnected is rejected while there is time to retry.
 class wait_policy
 {
 public:
-    [[nodiscard]] static wait_policy create(const wait_parameters& terms);
+    [[nodiscard]] static wait_policy create(const wait_parameters& parameters);
 
     [[nodiscard]] wait_stage stage(core::time_point now) const;
 
-    /// When the stage ends, unless there is room before.
+    /// When the stage ends, unless the request gets a server before.
     [[nodiscard]] core::time_point stage_end(wait_stage stage) const;
 
-    /// The place in the line: lower goes first.
+    /// The order in the queue: lower ranks go first.
     [[nodiscard]] int rank(wait_stage stage) const;
 
-    /// The earliest next look for room after one that found none.
+    /// The earliest time of the next attempt after one that failed at `now`.
     [[nodiscard]] core::time_point
     next_attempt(wait_stage stage, core::time_point now) const;
 
-    /// Prompt tokens that an engine may have to read, with the request's own,
-    /// for its first event to be in time.
+    /// How many prompt tokens an engine may have to prefill, including the
+    /// request's own, for its first event to be in time.
     [[nodiscard]] std::uint64_t max_unread_tokens(wait_stage stage) const;
 
-    /// When the caller of a request that is turned away should come back.
+    /// How long the caller of a rejected request should wait before a retry.
     [[nodiscard]] core::duration retry_after(core::time_point now) const;
 
     friend bool operator==(const wait_policy&, const wait_policy&) = default;
 
 private:
-    explicit wait_policy(const wait_parameters& terms) : terms_(terms) {}
+    explicit wait_policy(const wait_parameters& parameters)
+        : parameters_(parameters)
+    {}
 
-    wait_parameters terms_;
+    wait_parameters parameters_;
 };
 
 } // namespace godwit::admission
--- a/libraries/admission/src/make_placement_request.cpp
+++ b/libraries/admission/src/make_placement_request.cpp
@@ -5,20 +5,20 @@
 placement::placement_request make_placement_request(
     const routing::service& service,
     const std::optional<generation_size>& size,
-    const wait_policy& plan,
+    const wait_policy& policy,
     wait_stage stage)
 {
-    placement::placement_request wanted;
-    wanted.service = &service;
-    wanted.work.requests = 1;
+    placement::placement_request request;
+    request.service = &service;
+    request.work.requests = 1;
     if (size && service.engine)
-        wanted.work = size->work();
+        request.work = size->work();
     if (size && size->is_short())
-        wanted.purpose = placement::placement_purpose::short_start;
+        request.purpose = placement::placement_purpose::short_start;
     else if (stage == wait_stage::late)
-        wanted.purpose = placement::placement_purpose::late_start;
-    wanted.max_unread_tokens = plan.max_unread_tokens(stage);
-    return wanted;
+        request.purpose = placement::placement_purpose::late_start;
+    request.max_unread_tokens = policy.max_unread_tokens(stage);
+    return request;
 }
 
 } // namespace godwit::admission
--- a/libraries/replay/include/godwit/replay/engine_config.hpp
+++ b/libraries/replay/include/godwit/replay/engine_config.hpp
@@ -15,7 +15,7 @@
     double step_ms = 7.0; ///< Of an engine with nothing to do.
     double step_ms_per_run = 0.12;
     std::uint32_t chunk_tokens = 112; ///< Of prompts that one step reads.
-    double read_tokens_per_ms = 14.0;
+    double prefill_tokens_per_ms = 14.0;
     std::uint32_t tokens_per_event = 4;
 
     friend bool
--- a/libraries/replay/src/simulated_engine.cpp
+++ b/libraries/replay/src/simulated_engine.cpp
@@ -58,7 +58,7 @@
         shape_.step_ms_per_run * static_cast<double>(runs_.size());
     if (const run* reading = next_to_read())
         milliseconds += std::min(reading->unread_tokens, shape_.chunk_tokens) /
-                        shape_.read_tokens_per_ms;
+                        shape_.prefill_tokens_per_ms;
     return std::chrono::duration_cast<core::duration>(
         std::chrono::duration<double, std::milli>(slowness_ * milliseconds));
 }
