--- a/libraries/placement/bench/main.cpp
+++ b/libraries/placement/bench/main.cpp
@@ -1,5 +1,5 @@
-// Measures one choice of a backend server, and what a neighbour's word costs,
-// against the number of engines. One line of JSON a size.
+// Measures the time to choose a backend server and to apply a neighbour's load
+// report, by number of engines. Prints a line of JSON for each number.
 
 #include <godwit/core/random.hpp>
 #include <godwit/placement/placer.hpp>
@@ -18,12 +18,12 @@
 using clock_type = std::chrono::steady_clock;
 
 constexpr std::size_t measured_choices = 400;
-constexpr std::size_t measured_words = 4000;
-// A cell is full with 32 hosts; a fleet of 300 has about ten cells.
+constexpr std::size_t measured_reports = 4000;
+// A cell has up to 32 hosts; a fleet of 300 hosts has about ten cells.
 constexpr std::size_t neighbours = 31;
 constexpr std::size_t groups = 9;
-// Streams of one host, each at an engine of its own.
-constexpr std::size_t streams_a_host = 3;
+// Streams of one host, each on an engine of its own.
+constexpr std::size_t streams_per_host = 3;
 
 constexpr std::size_t first_port = 10'000;
 
@@ -39,20 +39,20 @@
     return work_size{1, 800 + random.below(900), 0, 0};
 }
 
-std::vector<server_work> host_word(std::size_t engines, core::random& random)
+std::vector<server_work> host_report(std::size_t engines, core::random& random)
 {
-    std::vector<server_work> word;
-    for (std::size_t stream = 0; stream < streams_a_host; ++stream)
-        word.push_back({engine_id(random.below(engines)), some_work(random)});
-    return word;
+    std::vector<server_work> report;
+    for (std::size_t stream = 0; stream < streams_per_host; ++stream)
+        report.push_back({engine_id(random.below(engines)), some_work(random)});
+    return report;
 }
 
-std::vector<server_work> group_word(std::size_t engines, core::random& random)
+std::vector<server_work> group_report(std::size_t engines, core::random& random)
 {
-    std::vector<server_work> word;
+    std::vector<server_work> report;
     for (std::size_t engine = 0; engine < engines; ++engine)
-        word.push_back({engine_id(engine), some_work(random)});
-    return word;
+        report.push_back({engine_id(engine), some_work(random)});
+    return report;
 }
 
 template<typename Step>
@@ -72,7 +72,7 @@
     server_directory directory;
     load_ledger ledger;
     server_health health;
-    slow_server_detector paces;
+    slow_server_detector slow_servers;
     const server_limits limits;
     routing::service service;
     service.name = core::service_name("lm");
@@ -94,28 +94,30 @@
     };
     for (std::size_t host = 0; host < neighbours; ++host)
         ledger.update_from_neighbour(
-            name_of(host), host_word(engines, random), now);
+            name_of(host), host_report(engines, random), now);
     for (std::size_t group = 0; group < groups; ++group)
         ledger.update_from_group(
             host_group("cell-" + std::to_string(group)),
             report_extent::full,
-            group_word(engines, random),
+            group_report(engines, random),
             now);
-    placer chooser(directory, ledger, health, paces, limits, 1);
-    placement_request wanted;
-    wanted.service = &service;
-    wanted.work = work_size{1, 3000, 3000, 0};
-    wanted.preferred_zone = core::zone_name("zone");
+    placer chooser(directory, ledger, health, slow_servers, limits, 1);
+    placement_request request;
+    request.service = &service;
+    request.work = work_size{1, 3000, 3000, 0};
+    request.preferred_zone = core::zone_name("zone");
     const double choice = microseconds_each(measured_choices, [&] {
-        if (!chooser.choose(wanted, now))
+        if (!chooser.choose(request, now))
             std::abort();
     });
-    const double word = microseconds_each(measured_words, [&] {
+    const double report = microseconds_each(measured_reports, [&] {
         ledger.update_from_neighbour(
-            name_of(random.below(neighbours)), host_word(engines, random), now);
+            name_of(random.below(neighbours)),
+            host_report(engines, random),
+            now);
     });
     std::cout << "{\"engines\": " << engines << ", \"choice_us\": " << choice
-              << ", \"neighbour_word_us\": " << word << "}\n";
+              << ", \"neighbour_word_us\": " << report << "}\n";
 }
 
 } // namespace
@@ -129,7 +131,7 @@
     }
     if (!wanted.empty()) {
         std::cout << "usage: godwit-placement-bench [--help | --version]\n"
-                     "Measures a choice of a server and a neighbour's word.\n";
+                     "Measures choosing a server and applying a load report.\n";
         return wanted == "--help" ? 0 : 2;
     }
     for (const std::size_t engines :
--- a/libraries/placement/include/godwit/placement/backend_server.hpp
+++ b/libraries/placement/include/godwit/placement/backend_server.hpp
@@ -9,29 +9,29 @@
 
 namespace godwit::placement {
 
-/// A backend server. It may start anew under its id; `server_start` tells
-/// its lives apart.
+/// Identifies a backend server. The id stays the same over restarts;
+/// `server_start` distinguishes the incarnations.
 using server_id = core::identifier<struct server_id_tag>;
 
-/// What a backend server says of itself.
+/// The state that a backend server reports of itself.
 enum class server_state
 {
     ready,
-    draining, ///< Takes nothing new, and ends soon.
+    draining, ///< Takes no new requests and ends soon.
 };
 
-/// A backend server as the list of servers shows it.
+/// The record of a backend server in the server list.
 struct backend_server
 {
     server_id id;
     core::service_name service;
     http::endpoint address;
     core::zone_name zone;
-    std::uint32_t slots = 1; ///< Requests that it works on at one time.
+    std::uint32_t slots = 1; ///< Requests that it can run concurrently.
     server_state state = server_state::ready;
-    /// Rises with each report of one life; orders views of unequal age.
+    /// Increases with each record of one incarnation, which orders them.
     std::uint64_t revision = 0;
-    server_start start = {}; ///< Of the life that this is said of.
+    server_start start = {}; ///< The incarnation that the record is about.
 
     friend bool
     operator==(const backend_server&, const backend_server&) = default;
--- a/libraries/placement/include/godwit/placement/copy_queue.hpp
+++ b/libraries/placement/include/godwit/placement/copy_queue.hpp
@@ -10,47 +10,47 @@
 
 namespace godwit::placement {
 
-/// What one more token of memory on a link saves: the text that is lost
-/// otherwise, for each token that has to be copied. A run that ends by itself
-/// during the notice, or has not begun, needs no copy.
+/// Returns the priority of copying a run's KV cache: the output tokens that are
+/// lost otherwise, for each token that has to be copied. A run that ends by
+/// itself during the notice period, or has not started, needs no copy.
 [[nodiscard]] double
 copy_priority(std::uint64_t tokens_left, const work_size& memory) noexcept;
 
-/// Which of a host's generations is copied next from each server.
+/// Priority queues of a host's KV cache copies, one for each source server.
 ///
-/// Answers servers that leave with more runs than their link can copy within
-/// the notice: some nine runs of 3,500 tokens in 1.8 s. What is lost should be
-/// what would have ended by itself, or was worth least.
+/// A draining server may have more runs than its link can copy within the
+/// notice period: about nine runs of 3,500 tokens in 1.8 s. The runs that are
+/// lost should be those that end by themselves or have the lowest priority.
 class copy_queue
 {
 public:
-    /// Copies of one host from one server at one time: each waits for the ones
-    /// before it on the same link, and a run that has stopped for its last
-    /// copy must not wait long.
+    /// Concurrent copies of one host from one server. A copy waits for earlier
+    /// ones on the same link, and a run that is suspended for its last copy
+    /// must not wait long.
     static constexpr std::size_t max_concurrent_copies = 1;
 
     using ticket = std::uint64_t;
 
-    /// Stands in line; the most urgent goes first, then who came first.
-    [[nodiscard]] ticket enqueue(const server_id& server, double urgency);
+    /// Adds a copy to the queue, by priority and then in order of arrival.
+    [[nodiscard]] ticket enqueue(const server_id& server, double priority);
 
-    /// Whether the holder may copy now; it counts as copying from then on.
-    [[nodiscard]] bool try_start(const server_id& server, ticket held);
+    /// Starts the copy if it is its turn; returns whether it was started.
+    [[nodiscard]] bool try_start(const server_id& server, ticket copy);
 
-    /// The copies are done, or not wanted any more.
-    void end(const server_id& server, ticket held);
+    /// Removes a copy that is completed or cancelled.
+    void end(const server_id& server, ticket copy);
 
 private:
-    struct line
+    struct server_queue
     {
-        std::map<ticket, double> waiting; ///< With their urgency.
+        std::map<ticket, double> waiting; ///< With their priorities.
         std::set<ticket> copying;
     };
 
-    [[nodiscard]] static bool is_first(const line& at, ticket held);
+    [[nodiscard]] static bool is_next(const server_queue& queue, ticket copy);
 
-    std::map<server_id, line> lines_;
-    ticket next_ = 0;
+    std::map<server_id, server_queue> queues_;
+    ticket next_ticket_ = 0;
 };
 
 } // namespace godwit::placement
--- a/libraries/placement/include/godwit/placement/event_gap_tracker.hpp
+++ b/libraries/placement/include/godwit/placement/event_gap_tracker.hpp
@@ -9,31 +9,31 @@
 
 namespace godwit::placement {
 
-/// How far apart the events of one stream come, smoothed over its last ones.
+/// Exponential moving average of the gaps between the events of one stream.
 ///
-/// Answers engines that turn slow without going down: two late events show
-/// it, where a mean over seconds would show it when the streams have ended.
+/// Detects engines that become slow without failing: two late events suffice,
+/// while a mean over seconds would show it only after the streams have ended.
 class event_gap_tracker
 {
 public:
-    /// The weight of the newest gap. With two events an engine that writes
-    /// 3.5 times slower stands out from one that reads a prompt meanwhile.
+    /// The weight of the newest gap. After two events an engine that decodes
+    /// 3.5 times slower is told apart from one that prefills a prompt.
     static constexpr double smoothing_factor = 0.4;
-    /// A longer gap is no pace: the stream was pushed off or stood still.
+    /// Longer gaps count as this: the stream was preempted or stalled.
     static constexpr core::duration max_gap = std::chrono::seconds(2);
 
-    /// So many events came together at this moment.
+    /// Records events that arrived together.
     void record_events(std::uint64_t events, core::time_point now);
 
-    /// The next gap says nothing of the server: the stream went on at
-    /// another one, or its caller did not take what came.
-    void skip_next_gap() { last_.reset(); }
+    /// Ignores the next gap, which does not depend on the server's speed: the
+    /// stream was migrated, or its caller did not read the events.
+    void skip_next_gap() { last_event_at_.reset(); }
 
-    /// What this stream adds to the sums; all zero before its first gap.
+    /// The stream's part of the totals; zero before its first gap.
     [[nodiscard]] event_gaps gaps() const;
 
 private:
-    std::optional<core::time_point> last_;
+    std::optional<core::time_point> last_event_at_;
     std::optional<double> gap_ms_;
 };
 
--- a/libraries/placement/include/godwit/placement/event_gaps.hpp
+++ b/libraries/placement/include/godwit/placement/event_gaps.hpp
@@ -5,14 +5,14 @@
 
 namespace godwit::placement {
 
-/// How far apart the events of running streams come, as sums that add up
-/// over streams and hosts.
+/// The gaps between the events of running streams, as totals that can be added
+/// up over streams and hosts.
 struct event_gaps
 {
-    std::uint32_t streams = 0; ///< Of which a gap is known.
+    std::uint32_t streams = 0; ///< Streams with a known gap.
     std::uint32_t total_ms = 0;
 
-    /// The mean over the streams; nothing where there is none.
+    /// The mean over the streams; empty without streams.
     [[nodiscard]] std::optional<double> mean_ms() const noexcept;
 
     event_gaps& operator+=(const event_gaps& more) noexcept;
@@ -21,9 +21,9 @@
     friend bool operator==(const event_gaps&, const event_gaps&) = default;
 };
 
-/// Whether the means are so far apart that a decision may differ, so that
-/// other hosts should hear of it at once.
-[[nodiscard]] bool
-differ_significantly(const event_gaps& told, const event_gaps& now) noexcept;
+/// Whether the means differ so much that a decision may change, so that the
+/// new value should be broadcast to other hosts at once.
+[[nodiscard]] bool differ_significantly(
+    const event_gaps& reported, const event_gaps& now) noexcept;
 
 } // namespace godwit::placement
--- a/libraries/placement/include/godwit/placement/load_ledger.hpp
+++ b/libraries/placement/include/godwit/placement/load_ledger.hpp
@@ -13,7 +13,7 @@
 
 namespace godwit::placement {
 
-/// The load of one backend server by the work of one host.
+/// The work of one host or group of hosts at one backend server.
 struct server_work
 {
     server_id server;
@@ -22,87 +22,89 @@
     friend bool operator==(const server_work&, const server_work&) = default;
 };
 
-/// The name of a group of hosts that tell the sums of their work.
+/// The name of a group of hosts that report the sum of their work.
 using host_group = core::identifier<struct host_group_tag>;
 
-/// Whether a group told all of its work, or only what changed.
+/// Whether a report has all work of a group, or only what changed.
 enum class report_extent
 {
     full,
     changes,
 };
 
-/// What each backend server has to do: this host's own requests, exactly,
-/// what the neighbours last said of theirs, and the sums that groups of
-/// hosts further away told.
+/// The load of each backend server: the exact work of this host's requests,
+/// the work last reported by neighbours, and the sums reported by groups of
+/// hosts further away.
 ///
-/// Sums are kept as words come, so that a look at a server costs the same
-/// however many hosts are heard: a choice among 128 servers with 40 words
-/// took 233 us when each look added them up (godwit-placement-bench).
+/// Totals are updated with each report, so that the cost of a lookup does not
+/// depend on the number of reporting hosts: choosing among 128 servers with 40
+/// reports took 233 us when each lookup added them up (godwit-placement-bench).
 class load_ledger
 {
 public:
-    /// A neighbour's word counts this long. Longer silence means that it is
-    /// cut off or dead, and its requests end.
+    /// How long a report counts. A host that reports nothing for longer is
+    /// partitioned or has failed, and its requests end.
     static constexpr core::duration report_lifetime = std::chrono::seconds(3);
 
     void add(const server_id& server, const work_size& work);
     void remove(const server_id& server, const work_size& work);
 
-    /// Replaces what `host` said before.
+    /// Replaces the previous report of `host`.
     void update_from_neighbour(
         const core::host_name& host,
-        const std::vector<server_work>& word,
+        const std::vector<server_work>& report,
         core::time_point now);
 
-    /// Forgets what other hosts than these said: groups tell of them now.
+    /// Removes the reports of other hosts than these: they are now covered by
+    /// reports of groups.
     void retain_neighbours(const std::set<core::host_name>& hosts);
 
-    /// The sums of a group of hosts, of which none is a neighbour.
+    /// Applies the sums of a group of hosts, of which none is a neighbour.
     void update_from_group(
         const host_group& group,
         report_extent extent,
-        const std::vector<server_work>& word,
+        const std::vector<server_work>& report,
         core::time_point now);
 
-    /// Work of all hosts at the server, as far as it is known.
+    /// Returns the known work of all hosts at the server.
     [[nodiscard]] work_size
     at(const server_id& server, core::time_point now) const;
 
-    /// Own work alone, of every server that has some.
+    /// Returns this host's work at each server that has some.
     [[nodiscard]] std::vector<server_work> own() const;
 
-    /// Own and neighbours' work, of every server that has some.
+    /// Returns the work of this host and its neighbours at each server that has
+    /// some.
     [[nodiscard]] std::vector<server_work>
     own_and_neighbours(core::time_point now) const;
 
-    /// Whether there are groups of hosts of which only sums are known.
+    /// Whether any group of hosts has a report that has not expired.
     [[nodiscard]] bool has_group_reports(core::time_point now) const;
 
-    /// How many neighbours were heard lately.
+    /// Returns the number of neighbours whose reports have not expired.
     [[nodiscard]] std::size_t active_neighbours(core::time_point now) const;
 
 private:
-    struct told_work
+    struct load_report
     {
         std::map<server_id, work_size> work;
-        core::time_point heard_at;
-        bool is_counted = false; ///< Whether `others_` holds it.
+        core::time_point received_at;
+        bool is_counted = false; ///< Whether `others_total_` includes it.
 
         [[nodiscard]] bool is_fresh(core::time_point now) const;
     };
 
-    void count(told_work& word) const;
-    void uncount(told_work& word) const;
-    void uncount_lapsed(core::time_point now) const;
+    void count(load_report& report) const;
+    void uncount(load_report& report) const;
+    void uncount_expired(core::time_point now) const;
 
     std::map<server_id, work_size> own_;
-    // Words lapse with time alone, so a look may find sums to bring up to
-    // date; what is seen from outside does not change by that.
-    mutable std::map<core::host_name, told_work> neighbours_;
-    mutable std::map<host_group, told_work> groups_;
-    mutable std::map<server_id, work_size> others_;
-    mutable core::time_point lapse_looked_at_{};
+    // Mutable because reports expire with time, so that a lookup may have to
+    // update the totals, without any visible change.
+    mutable std::map<core::host_name, load_report> neighbours_;
+    mutable std::map<host_group, load_report> groups_;
+    mutable std::map<server_id, work_size> others_total_;
+    mutable core::time_point last_expiry_check_{};
 };
 
 } // namespace godwit::placement
--- a/libraries/placement/include/godwit/placement/server_directory.hpp
+++ b/libraries/placement/include/godwit/placement/server_directory.hpp
@@ -10,83 +10,85 @@
 
 namespace godwit::placement {
 
-/// What a change of the directory did to a server.
+/// How an update changed a server of the directory.
 enum class directory_change
 {
     none,
-    appeared, ///< It may be used.
-    left,     ///< It takes nothing new from now on.
-    /// It began anew: all work of its former life is gone. Whether the new
-    /// life may be used is a question of its own.
+    appeared, ///< It became usable.
+    left,     ///< It takes no new requests from now on.
+    /// It restarted: all work of its former incarnation is lost. The new one
+    /// is not necessarily usable.
     restarted,
 };
 
-/// How the source of the list stood when it dropped an entry.
+/// The state of the list's source when it removed a record.
 enum class source_state
 {
     steady,
-    recovering, ///< It was away a moment ago; entries may have lapsed.
+    recovering, ///< It was unavailable recently; records may have expired.
 };
 
-/// The backend servers that this host believes in.
+/// The backend servers known to this host.
 ///
-/// An entry that vanishes means that its server leaves. Only after the
-/// source was away it may have lapsed instead: then the server stays for
-/// `expiry_grace`, in which a living server lists itself again.
+/// A record that is removed means that its server is draining, except after
+/// the source was unavailable, when the record may have expired: then the
+/// server stays for `expiry_grace`, within which a running server registers
+/// again.
 class server_directory
 {
 public:
-    /// How long an entry that vanished with its source may stay away.
+    /// How long a server stays after its record may have expired.
     static constexpr core::duration expiry_grace = std::chrono::seconds(2);
-    /// A list that is read for the first time comes within this span.
+    /// Servers that are listed within this time after the first one belong to
+    /// the initial list and did not join.
     static constexpr core::duration initial_view_window =
         std::chrono::seconds(1);
-    /// How long a server that left is remembered, for the requests that it
-    /// still works on.
+    /// How long a server that left is kept, for the requests that it still
+    /// runs.
     static constexpr core::duration departed_retention =
         std::chrono::seconds(60);
 
-    /// The server is listed like this; a view that is older than what is
-    /// known, or of an earlier life, changes nothing. An address that another
-    /// server of the service had means that the other one is gone.
+    /// Applies a record of the server. Records that are older than the known
+    /// one, or of a former incarnation, are ignored. Another server of the
+    /// service with the same address is marked as draining, since it is gone.
     directory_change listed(const backend_server& server, core::time_point now);
 
-    /// The source lists the server; its entry did not lapse, or is back as it
-    /// was. Says nothing of one that leaves.
+    /// Notes that the source still lists the server: its record did not expire,
+    /// or was restored unchanged. Has no effect on a draining server.
     void still_listed(const server_id& id);
 
-    /// The list dropped the server.
+    /// Notes that the source removed the server's record.
     directory_change
     delisted(const server_id& id, source_state source, core::time_point now);
 
-    /// Servers whose grace ran out, which count as gone from now on; forgets
-    /// servers that left long ago.
+    /// Marks servers whose grace period ended as draining and returns them;
+    /// removes servers that left longer than `departed_retention` ago.
     [[nodiscard]] std::vector<server_id> expire(core::time_point now);
 
-    /// The server of that id, also when it leaves; null when unknown.
+    /// Returns the server, also if it is draining; null if it is unknown.
     [[nodiscard]] const backend_server* find(const server_id& id) const;
 
-    /// Whether the server is known and does not leave.
+    /// Whether the server is known and not draining.
     [[nodiscard]] bool is_usable(const server_id& id) const;
 
-    /// When the server was first seen to leave.
+    /// When this host first saw the server drain.
     [[nodiscard]] std::optional<core::time_point>
     left_at(const server_id& id) const;
 
-    /// When a server of the service was last seen to leave.
+    /// When this host last saw a server of the service start to drain.
     [[nodiscard]] std::optional<core::time_point>
     last_departure(const core::service_name& service) const;
 
-    /// When the server joined those that were known; nothing if it was there
-    /// when this host first saw the list.
+    /// When the server joined; empty if it was in the initial list of this
+    /// host.
     [[nodiscard]] std::optional<core::time_point>
     joined_at(const server_id& id) const;
 
-    /// The usable servers of the service, ordered by id.
+    /// Returns the usable servers of the service, ordered by id.
     [[nodiscard]] std::vector<const backend_server*>
     usable(const core::service_name& service) const;
 
-    /// Every id that is known.
+    /// Returns the ids of all known servers.
     [[nodiscard]] std::vector<server_id> ids() const;
 
     [[nodiscard]] std::size_t size() const noexcept { return servers_.size(); }
@@ -96,15 +98,15 @@
     {
         backend_server server;
         std::optional<core::time_point> left_at;
-        std::optional<core::time_point> lapsed_at;
+        std::optional<core::time_point> missing_since;
         std::optional<core::time_point> joined_at;
     };
 
     directory_change add(const backend_server& server, core::time_point now);
-    directory_change begin_anew(
-        entry& known, const backend_server& server, core::time_point now);
+    directory_change
+    restart(entry& known, const backend_server& server, core::time_point now);
     directory_change leave(entry& leaving, core::time_point now);
-    void replace_at(const backend_server& server, core::time_point now);
+    void drain_same_address(const backend_server& server, core::time_point now);
 
     std::map<server_id, entry> servers_;
     std::optional<core::time_point> first_listed_at_;
--- a/libraries/placement/include/godwit/placement/server_health.hpp
+++ b/libraries/placement/include/godwit/placement/server_health.hpp
@@ -8,53 +8,53 @@
 
 namespace godwit::placement {
 
-/// How the exchanges with each backend server went, as its requests saw it.
+/// The health of each backend server, judged by the results of its requests.
 class server_health
 {
 public:
-    /// A server that could not be reached is avoided this long at first, and
-    /// twice as long after each further failure.
+    /// How long an unreachable server is avoided, doubled after each further
+    /// failure.
     static constexpr core::duration initial_backoff =
         std::chrono::milliseconds(500);
     static constexpr core::duration max_backoff = std::chrono::seconds(4);
-    /// The weight of the newest answer in the share of failed ones.
+    /// The weight of the newest response in the failure rate.
     static constexpr double smoothing_factor = 0.2;
 
-    /// The server answered and did its work.
+    /// Records a response that completed the request.
     void record_success(const server_id& server);
 
-    /// The server answered that it failed.
+    /// Records a response that reports a failure.
     void record_failure(const server_id& server);
 
-    /// No connection, no answer, or a broken one.
+    /// Records that there was no connection, no response or an incomplete one.
     void record_unreachable(const server_id& server, core::time_point now);
 
-    /// The server had no room; it is passed over for a moment.
+    /// Records that the server had no capacity; it is avoided for a short time.
     void record_full(const server_id& server, core::time_point now);
 
-    /// Whether requests should go elsewhere if they can.
+    /// Whether other servers should be preferred.
     [[nodiscard]] bool
     is_avoided(const server_id& server, core::time_point now) const;
 
-    /// Whether the server said a moment ago that it has no room.
+    /// Whether the server reported recently that it has no capacity.
     [[nodiscard]] bool
     is_full(const server_id& server, core::time_point now) const;
 
-    /// The share of failed answers lately, 0 to 1.
+    /// The moving average of failed responses, 0 to 1.
     [[nodiscard]] double failure_rate(const server_id& server) const;
 
-    /// Forgets the server.
+    /// Removes all records of the server.
     void forget(const server_id& server);
 
 private:
-    /// How long a server that had no room is passed over. What comes free
-    /// meanwhile goes to other hosts, each of which asks as seldom.
+    /// How long a server without capacity is avoided. Capacity that becomes
+    /// free meanwhile goes to other hosts, which all try as rarely.
     static constexpr core::duration full_backoff =
         std::chrono::milliseconds(400);
 
     struct record
     {
-        unsigned unreachable_in_a_row = 0;
+        unsigned consecutive_unreachable = 0;
         double failure_rate = 0;
         core::time_point avoided_until{};
         core::time_point full_until{};
--- a/libraries/placement/include/godwit/placement/server_start.hpp
+++ b/libraries/placement/include/godwit/placement/server_start.hpp
@@ -5,12 +5,12 @@
 
 namespace godwit::placement {
 
-/// When one life of a backend server began, by the server's own clock. Of two
-/// lives under one id the later start is the newer life; an unknown start
-/// comes before every known one.
+/// When an incarnation of a backend server started, by the server's own clock.
+/// Of two incarnations with the same id, the one with the later start is newer;
+/// an unknown start is older than every known one.
 struct server_start
 {
-    std::uint64_t unix_ms = 0; ///< 0: not known.
+    std::uint64_t unix_ms = 0; ///< 0 if unknown.
 
     [[nodiscard]] bool is_known() const noexcept { return unix_ms != 0; }
 
--- a/libraries/placement/include/godwit/placement/slow_server_detector.hpp
+++ b/libraries/placement/include/godwit/placement/slow_server_detector.hpp
@@ -14,39 +14,41 @@
 
 namespace godwit::placement {
 
-/// The gaps between events that all hosts together see at one server.
+/// The gaps between events at one server, observed by all hosts together.
 struct server_gaps
 {
     server_id server;
     event_gaps gaps;
-    bool is_prefilling = false; ///< Beside writing these events.
+    bool is_prefilling = false; ///< Concurrently with these events.
 
-    /// The mean gap as it would be if the server read nothing.
+    /// The mean gap that the server would have without prefill.
     [[nodiscard]] std::optional<double> decode_gap_ms() const noexcept;
 
     friend bool operator==(const server_gaps&, const server_gaps&) = default;
 };
 
-/// The gaps at each usable server of the service, as the ledger knows them.
+/// Returns the gaps at each usable server of the service, as reported to the
+/// ledger.
 [[nodiscard]] std::vector<server_gaps> observed_gaps(
     const server_directory& directory,
     const load_ledger& ledger,
     const core::service_name& service,
     core::time_point now);
 
-/// What is believed of a server's pace.
+/// The estimated speed of a server.
 struct server_speed
 {
-    /// How many times slower than the median it writes; 1 unless it is slow.
+    /// The factor by which it decodes slower than the median; 1 unless it is
+    /// slow.
     double slowness = 1.0;
-    /// Since when it is tried: it was slow, and nothing has shown for a while
-    /// whether it still is.
+    /// When it went on probation: it was slow, and there were no streams since
+    /// that would show whether it still is.
     std::optional<core::time_point> probation_since;
 
     friend bool operator==(const server_speed&, const server_speed&) = default;
 };
 
-/// Servers that turned slow, or are no longer slow.
+/// Servers that became slow or recovered.
 struct speed_changes
 {
     std::vector<server_id> slower;
@@ -56,37 +58,39 @@
     operator==(const speed_changes&, const speed_changes&) = default;
 };
 
-/// Which backend servers write much slower than the others of their service.
+/// Detects backend servers that decode much slower than the others of their
+/// service.
 ///
-/// Answers engines that turn slow without going down: their health checks and
-/// slots look as ever, and a prompt that is read there makes every stream
-/// that runs there late. Servers are compared with each other at the same
-/// moment, so that a load that slows all of them makes none of them slow.
+/// An engine may become slow without failing: its health checks and slots look
+/// normal, but a prompt that is prefilled there makes all of its streams late.
+/// Servers are compared with each other at the same time, so that a load that
+/// slows down all of them marks none as slow.
 class slow_server_detector
 {
 public:
-    /// How many times longer a step takes that also reads a part of a prompt:
-    /// 7 ms to write, 8 ms to read 112 tokens.
+    /// The factor by which a step takes longer that also prefills a part of a
+    /// prompt: 7 ms to decode, 8 ms to prefill 112 tokens.
     static constexpr double prefill_slowdown = 2.0;
-    /// Times the median gap from which a server is slow. A sound one that has
-    /// read a prompt a moment ago comes to `prefill_slowdown`.
+    /// The multiple of the median gap from which a server is slow. A normal
+    /// one that has just prefilled a prompt reaches `prefill_slowdown`.
     static constexpr double slow_threshold = 2.2;
-    /// Below this it is quick again.
+    /// The multiple of the median gap below which a slow server has recovered.
     static constexpr double recovered_threshold = 1.5;
-    /// Below this a caller notices no difference between two servers.
+    /// Callers notice no difference between servers with shorter gaps.
     static constexpr double min_gap_ms = 20.0;
-    /// With fewer servers that write, nobody can say which is the slow one.
+    /// With fewer servers that decode, the slow one cannot be identified.
     static constexpr std::size_t min_compared_servers = 4;
-    /// How long a server without streams is still taken to be slow.
+    /// How long a server without streams still counts as slow.
     static constexpr core::duration slow_retention = std::chrono::seconds(2);
-    /// How long it is tried by one request at a time after that: only a
-    /// stream shows whether it is quick again, and all hosts that believed so
-    /// at the same moment would send theirs.
+    /// How long it gets one request at a time after that: only a stream shows
+    /// whether it has recovered, and otherwise all hosts would send their
+    /// requests at the same time.
     static constexpr core::duration probation = std::chrono::seconds(10);
 
-    /// Takes what all servers of one service show now.
+    /// Compares the current gaps of all servers of one service. Returns the
+    /// servers that changed.
     speed_changes
-    compare(const std::vector<server_gaps>& seen, core::time_point now);
+    compare(const std::vector<server_gaps>& observed, core::time_point now);
 
     [[nodiscard]] server_speed
     at(const server_id& server, core::time_point now) const;
@@ -94,8 +98,8 @@
 private:
     struct slow_server
     {
-        double times = 1.0;
-        core::time_point seen_at;
+        double factor = 1.0;
+        core::time_point last_seen_at;
     };
 
     std::map<server_id, slow_server> slow_;
--- a/libraries/placement/include/godwit/placement/work_size.hpp
+++ b/libraries/placement/include/godwit/placement/work_size.hpp
@@ -6,17 +6,18 @@
 
 namespace godwit::placement {
 
-/// What work asks of a backend server; sums of it are a server's load.
+/// The resources that requests need of a backend server. The sum over all
+/// requests is the server's load.
 struct work_size
 {
     std::uint32_t requests = 0;
-    /// Memory, in tokens, that the requests will have at their ends.
+    /// KV cache memory planned for the requests, in tokens.
     std::uint64_t tokens = 0;
-    /// Prompt tokens that are still to be read.
+    /// Prompt tokens that are still to be prefilled.
     std::uint64_t unread_tokens = 0;
-    /// Memory that is still to come over the server's link, of `tokens`.
+    /// The part of `tokens` that is still being copied over the server's link.
     std::uint64_t arriving_tokens = 0;
-    event_gaps gaps = {}; ///< Of the requests that write.
+    event_gaps gaps = {}; ///< Of the streams that are decoding.
 
     work_size& operator+=(const work_size& more) noexcept;
     work_size& operator-=(const work_size& less) noexcept;
--- a/libraries/placement/src/copy_queue.cpp
+++ b/libraries/placement/src/copy_queue.cpp
@@ -11,48 +11,48 @@
            static_cast<double>(std::max<std::uint64_t>(memory.tokens, 1));
 }
 
-copy_queue::ticket copy_queue::enqueue(const server_id& server, double urgency)
+copy_queue::ticket copy_queue::enqueue(const server_id& server, double priority)
 {
-    const ticket held = next_++;
-    lines_[server].waiting.emplace(held, urgency);
-    return held;
+    const ticket copy = next_ticket_++;
+    queues_[server].waiting.emplace(copy, priority);
+    return copy;
 }
 
-bool copy_queue::is_first(const line& at, ticket held)
+bool copy_queue::is_next(const server_queue& queue, ticket copy)
 {
-    const auto own = at.waiting.find(held);
-    if (own == at.waiting.end())
+    const auto own = queue.waiting.find(copy);
+    if (own == queue.waiting.end())
         return false;
     return std::none_of(
-        at.waiting.begin(), at.waiting.end(), [&own](const auto& other) {
+        queue.waiting.begin(), queue.waiting.end(), [&own](const auto& other) {
             return other.second > own->second ||
                    (other.second == own->second && other.first < own->first);
         });
 }
 
-bool copy_queue::try_start(const server_id& server, ticket held)
+bool copy_queue::try_start(const server_id& server, ticket copy)
 {
-    const auto found = lines_.find(server);
-    if (found == lines_.end())
+    const auto found = queues_.find(server);
+    if (found == queues_.end())
         return false;
-    line& at = found->second;
-    if (at.copying.size() >= max_concurrent_copies || !is_first(at, held))
+    server_queue& queue = found->second;
+    if (queue.copying.size() >= max_concurrent_copies || !is_next(queue, copy))
         return false;
-    at.waiting.erase(held);
-    at.copying.insert(held);
+    queue.waiting.erase(copy);
+    queue.copying.insert(copy);
     return true;
 }
 
-void copy_queue::end(const server_id& server, ticket held)
+void copy_queue::end(const server_id& server, ticket copy)
 {
-    const auto found = lines_.find(server);
-    if (found == lines_.end())
+    const auto found = queues_.find(server);
+    if (found == queues_.end())
         return;
-    line& at = found->second;
-    at.waiting.erase(held);
-    at.copying.erase(held);
-    if (at.waiting.empty() && at.copying.empty())
-        lines_.erase(found);
+    server_queue& queue = found->second;
+    queue.waiting.erase(copy);
+    queue.copying.erase(copy);
+    if (queue.waiting.empty() && queue.copying.empty())
+        queues_.erase(found);
 }
 
 } // namespace godwit::placement
--- a/libraries/placement/src/event_gap_tracker.cpp
+++ b/libraries/placement/src/event_gap_tracker.cpp
@@ -10,8 +10,8 @@
 {
     if (events == 0)
         return;
-    const auto before = last_;
-    last_ = now;
+    const auto before = last_event_at_;
+    last_event_at_ = now;
     if (!before)
         return;
     const core::duration span = std::min(now - *before, max_gap);
--- a/libraries/placement/src/event_gaps.cpp
+++ b/libraries/placement/src/event_gaps.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-// Of the two means. A smaller change does not turn a verdict on its own: a
-// server is slow from 2.2 times the median and quick again below 1.5.
-constexpr double much = 1.5;
+// Ratio of the two means. A smaller change does not change the result for a
+// server on its own: it is slow from 2.2 times the median and has recovered
+// below 1.5 times.
+constexpr double significant_ratio = 1.5;
 
 } // namespace
 
@@ -34,13 +35,14 @@
 }
 
 bool differ_significantly(
-    const event_gaps& told, const event_gaps& now) noexcept
+    const event_gaps& reported, const event_gaps& now) noexcept
 {
-    const auto before = told.mean_ms();
+    const auto before = reported.mean_ms();
     const auto after = now.mean_ms();
     if (!before || !after)
         return before.has_value() != after.has_value();
-    return *after > much * *before || *before > much * *after;
+    return *after > significant_ratio * *before ||
+           *before > significant_ratio * *after;
 }
 
 } // namespace godwit::placement
--- a/libraries/placement/src/load_ledger.cpp
+++ b/libraries/placement/src/load_ledger.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// A server without work is not kept: servers come and go.
-void take_out(
+// Servers without work are removed, so that the map does not grow with each
+// server that was ever used.
+void subtract(
     std::map<server_id, work_size>& sums,
     const server_id& server,
     const work_size& work)
@@ -30,52 +31,52 @@
 
 void load_ledger::remove(const server_id& server, const work_size& work)
 {
-    take_out(own_, server, work);
+    subtract(own_, server, work);
 }
 
-void load_ledger::count(told_work& word) const
+void load_ledger::count(load_report& report) const
 {
-    if (std::exchange(word.is_counted, true))
+    if (std::exchange(report.is_counted, true))
         return;
-    for (const auto& [server, work] : word.work)
-        others_[server] += work;
+    for (const auto& [server, work] : report.work)
+        others_total_[server] += work;
 }
 
-void load_ledger::uncount(told_work& word) const
+void load_ledger::uncount(load_report& report) const
 {
-    if (!std::exchange(word.is_counted, false))
+    if (!std::exchange(report.is_counted, false))
         return;
-    for (const auto& [server, work] : word.work)
-        take_out(others_, server, work);
+    for (const auto& [server, work] : report.work)
+        subtract(others_total_, server, work);
 }
 
-void load_ledger::uncount_lapsed(core::time_point now) const
+void load_ledger::uncount_expired(core::time_point now) const
 {
-    if (now == lapse_looked_at_)
+    if (now == last_expiry_check_)
         return;
-    lapse_looked_at_ = now;
-    for (auto& [host, word] : neighbours_) {
-        if (!word.is_fresh(now))
-            uncount(word);
+    last_expiry_check_ = now;
+    for (auto& [host, report] : neighbours_) {
+        if (!report.is_fresh(now))
+            uncount(report);
     }
-    for (auto& [group, word] : groups_) {
-        if (!word.is_fresh(now))
-            uncount(word);
+    for (auto& [group, report] : groups_) {
+        if (!report.is_fresh(now))
+            uncount(report);
     }
 }
 
 void load_ledger::update_from_neighbour(
     const core::host_name& host,
-    const std::vector<server_work>& word,
+    const std::vector<server_work>& report,
     core::time_point now)
 {
-    told_work& kept = neighbours_[host];
-    uncount(kept);
-    kept.heard_at = now;
-    kept.work.clear();
-    for (const server_work& one : word)
-        kept.work[one.server] += one.work;
-    count(kept);
+    load_report& known = neighbours_[host];
+    uncount(known);
+    known.received_at = now;
+    known.work.clear();
+    for (const server_work& one : report)
+        known.work[one.server] += one.work;
+    count(known);
 }
 
 void load_ledger::retain_neighbours(const std::set<core::host_name>& hosts)
@@ -93,43 +94,44 @@
 void load_ledger::update_from_group(
     const host_group& group,
     report_extent extent,
-    const std::vector<server_work>& word,
+    const std::vector<server_work>& report,
     core::time_point now)
 {
-    told_work& kept = groups_[group];
-    // Words come in order, and a link that lost some begins with a whole one:
-    // changes after a silence complete what was told before it.
+    load_report& known = groups_[group];
+    // Reports arrive in order, and a link that lost some starts with a full
+    // report, so that changes apply to the previous report even if it expired.
     if (extent == report_extent::full) {
-        uncount(kept);
-        kept.work.clear();
+        uncount(known);
+        known.work.clear();
     }
-    kept.heard_at = now;
-    count(kept);
-    for (const server_work& one : word) {
-        const auto told = kept.work.find(one.server);
-        if (told != kept.work.end()) {
-            take_out(others_, one.server, told->second);
-            kept.work.erase(told);
+    known.received_at = now;
+    count(known);
+    for (const server_work& one : report) {
+        const auto previous = known.work.find(one.server);
+        if (previous != known.work.end()) {
+            subtract(others_total_, one.server, previous->second);
+            known.work.erase(previous);
         }
         if (one.work == work_size())
             continue;
-        others_[one.server] += one.work;
-        kept.work.emplace(one.server, one.work);
+        others_total_[one.server] += one.work;
+        known.work.emplace(one.server, one.work);
     }
 }
 
-bool load_ledger::told_work::is_fresh(core::time_point now) const
+bool load_ledger::load_report::is_fresh(core::time_point now) const
 {
-    return now - heard_at <= report_lifetime;
+    return now - received_at <= report_lifetime;
 }
 
 work_size load_ledger::at(const server_id& server, core::time_point now) const
 {
-    uncount_lapsed(now);
+    uncount_expired(now);
     work_size sum;
     if (const auto found = own_.find(server); found != own_.end())
         sum += found->second;
-    if (const auto found = others_.find(server); found != others_.end())
+    if (const auto found = others_total_.find(server);
+        found != others_total_.end())
         sum += found->second;
     return sum;
 }
@@ -138,10 +140,10 @@
 load_ledger::own_and_neighbours(core::time_point now) const
 {
     std::map<server_id, work_size> sums = own_;
-    for (const auto& [host, word] : neighbours_) {
-        if (!word.is_fresh(now))
+    for (const auto& [host, report] : neighbours_) {
+        if (!report.is_fresh(now))
             continue;
-        for (const auto& [server, work] : word.work)
+        for (const auto& [server, work] : report.work)
             sums[server] += work;
     }
     std::vector<server_work> all;
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -10,63 +10,65 @@
 
 namespace {
 
-// The share of a server's memory that starts may plan to fill. What stays
-// free takes generations that come from a server that leaves.
+// The share of a server's memory that starts may use. The rest is reserved for
+// generations that are migrated from draining servers.
 constexpr double start_memory_share = 0.95;
-// Short generations find room beside them: what they take they give back
-// before anybody misses it.
+// Short generations may use the reserve as well, since they free their memory
+// before it is needed.
 constexpr double short_start_memory_share = 1.0;
-// Late starts take what nobody needs who can be in time: where memory is
-// short, each of them would make another request late.
+// Late starts get memory that no timely request needs: where memory is short,
+// each of them would make another request late.
 constexpr double late_start_memory_share = 0.5;
-// Migrations may fill what a server has; beyond it somebody is preempted.
+// Migrations may fill the memory of a server; beyond it the engine preempts
+// generations.
 constexpr double migration_memory_share = 1.05;
-// Nobody needs a run to be rebalanced, and memory that it fills keeps starts
-// out: it goes only where plenty is left.
+// Rebalancing is optional, and memory that it uses is not available for starts,
+// so that it needs a server with much free memory.
 constexpr double rebalance_memory_share = 0.75;
-// Unread prompt tokens that weigh as much as a whole memory: about two seconds
-// of reading beside running generations. At a quarter of it requests went to
-// other zones for a moment's wait, and 1.8% fewer long streams were in time
+// Unread prompt tokens that cost as much as a full memory: about two seconds of
+// prefill next to running generations. At a quarter of this, requests went to
+// other zones to avoid short waits, and 1.8% fewer long streams were in time
 // (15 simulated days with faults).
 constexpr double unread_tokens_weight = 14000.0;
-// Another zone adds a hop to each event, its traffic is paid for, and a stream
-// stands still while its engine's zone is cut off.
+// Another zone adds a hop to each event, traffic between zones is charged for,
+// and a stream stalls while its engine's zone is partitioned.
 constexpr double other_zone_cost = 0.35;
-// Of a migration that takes a second until its memory is there, in the copies
-// that come before it and its own. Servers that leave give some two seconds,
-// so a second weighs as much as two engines' memories.
+// Cost of each second until a migration's copy is complete, including the
+// copies before it. Draining servers leave about two seconds, so that a second
+// costs as much as two full memories.
 constexpr double copy_second_cost = 2.0;
 // A copy takes twice as long to another zone.
 constexpr double other_zone_copy_factor = 2.0;
-// Beside the time of the copy: more than the spread between hosts, so that
-// runs cross zones only where copies queue or memory is short.
+// In addition to the duration of the copy. Exceeds the jitter between hosts, so
+// that runs change zones only if copies queue or memory is short.
 constexpr double other_zone_migration_cost = 0.6;
-// A server that fails every request costs as much as two full ones.
+// A server that fails every request costs as much as two full memories.
 constexpr double failure_cost = 2.0;
-// For each time that a server writes slower than the others. A prompt that a
-// server reads at a third of its speed makes all that run there late, so one
-// that is twice as slow costs as much as a full one.
+// For each multiple by which a server is slower than the others. A prompt that
+// is prefilled at a third of the speed makes all streams of that server late,
+// so that a server that is twice as slow costs as much as a full one.
 constexpr double slowness_cost = 1.0;
-// Of a server that may still be slow: it is tried when the others are busy.
-constexpr double doubt_cost = 0.35;
-// All hosts see a new, empty server at the same moment, and hear of what
-// others sent there only afterwards. Were it open to all of them at once, each
-// would send it what it has waiting: up to thirteen prompts within a
-// millisecond, of which the last began 5 s later. One is read in some 200 ms.
-constexpr core::duration joining_span = std::chrono::milliseconds(600);
-// Spreads the choices of hosts that know the same.
+// For a server on probation: it is tried when the others are busy.
+constexpr double probation_cost = 0.35;
+// Time over which hosts gradually start to use a new server. They all see the
+// empty server at the same time, and learn only later what others sent to it.
+// If all used it at once, each would send its waiting requests: up to thirteen
+// prompts arrived within a millisecond, of which the last started 5 s later.
+// One takes about 200 ms to prefill.
+constexpr core::duration joining_window = std::chrono::milliseconds(600);
+// Spreads the choices of hosts with the same information.
 constexpr double jitter = 0.05;
-// All hosts choose at the same moment when a server leaves, and copies to
-// one destination wait for each other.
+// All hosts choose at the same time when a server drains, and copies to one
+// destination wait for each other.
 constexpr double migration_jitter = 0.4;
 
-// How long it takes until a copy of the work's memory is at a server to which
-// others are on their way.
+// Returns how long a copy of the work's KV cache takes, including the copies to
+// the same server that are in progress.
 double copy_seconds(
     const routing::engine_profile& engine,
     const work_size& work,
     const work_size& load,
-    bool is_far)
+    bool is_other_zone)
 {
     constexpr double bits_per_byte = 8.0;
     constexpr double bits_per_mbit = 1e6;
@@ -74,9 +76,10 @@
     const double rate = bits_per_mbit * engine.link_mbit_per_second;
     if (rate <= 0)
         return 0;
-    const double own = static_cast<double>(work.tokens) *
-                       (is_far ? other_zone_copy_factor : 1.0);
-    return (static_cast<double>(load.arriving_tokens) + own) * bits / rate;
+    const double host_random = static_cast<double>(work.tokens) *
+                               (is_other_zone ? other_zone_copy_factor : 1.0);
+    return (static_cast<double>(load.arriving_tokens) + host_random) * bits /
+           rate;
 }
 
 } // namespace
@@ -85,11 +88,11 @@
     const server_directory& directory,
     const load_ledger& ledger,
     const server_health& health,
-    const slow_server_detector& paces,
+    const slow_server_detector& slow_servers,
     const server_limits& limits,
     std::uint64_t seed)
-    : directory_(directory), ledger_(ledger), health_(health), paces_(paces),
-      limits_(limits), seed_(seed), random_(seed)
+    : directory_(directory), ledger_(ledger), health_(health),
+      slow_servers_(slow_servers), limits_(limits), seed_(seed), random_(seed)
 {}
 
 double placer::memory_share(placement_purpose purpose)
@@ -110,53 +113,54 @@
 }
 
 bool placer::is_candidate(
-    const placement_request& wanted, const backend_server& server)
+    const placement_request& request, const backend_server& server)
 {
-    if (wanted.requires_preferred_zone && server.zone != wanted.preferred_zone)
+    if (request.requires_preferred_zone &&
+        server.zone != request.preferred_zone)
         return false;
     return std::find(
-               wanted.excluded.begin(), wanted.excluded.end(), server.id) ==
-           wanted.excluded.end();
+               request.excluded.begin(), request.excluded.end(), server.id) ==
+           request.excluded.end();
 }
 
-bool placer::has_room(
-    const placement_request& wanted,
+bool placer::has_capacity(
+    const placement_request& request,
     const backend_server& server,
     const work_size& load,
-    const server_speed& pace) const
+    const server_speed& speed) const
 {
-    if (!wanted.service->engine)
+    if (!request.service->engine)
         return true;
-    const routing::engine_profile& engine = *wanted.service->engine;
-    const auto room = static_cast<std::uint64_t>(
-        memory_share(wanted.purpose) *
+    const routing::engine_profile& engine = *request.service->engine;
+    const auto capacity = static_cast<std::uint64_t>(
+        memory_share(request.purpose) *
         static_cast<double>(engine.memory_tokens));
-    // Its copy would hold up those that cannot wait.
-    if (wanted.purpose == placement_purpose::rebalance &&
+    // Its copy would delay copies that are urgent.
+    if (request.purpose == placement_purpose::rebalance &&
         load.arriving_tokens > 0)
         return false;
-    // A slow server reads as slowly as it writes. It gets one prompt at a time,
-    // and one that it reads in time.
-    if (pace.slowness > 1.0 && wanted.work.unread_tokens > 0 &&
+    // A slow server is slow at prefill as well. It gets one prompt at a time,
+    // and only one that it can prefill in time.
+    if (speed.slowness > 1.0 && request.work.unread_tokens > 0 &&
         (load.unread_tokens > 0 ||
-         static_cast<double>(wanted.work.unread_tokens) * pace.slowness >
-             static_cast<double>(wanted.max_unread_tokens)))
+         static_cast<double>(request.work.unread_tokens) * speed.slowness >
+             static_cast<double>(request.max_unread_tokens)))
         return false;
-    // A request that is larger than the share may have a server alone.
+    // A request above the memory share may use a server that is empty.
     if (load.requests == 0)
         return true;
-    const bool is_read_in_time =
+    const bool is_prefill_timely =
         load.unread_tokens == 0 ||
-        load.unread_tokens + wanted.work.unread_tokens <=
-            wanted.max_unread_tokens;
-    return is_read_in_time && load.requests < server.slots &&
-           load.tokens + wanted.work.tokens <= room;
+        load.unread_tokens + request.work.unread_tokens <=
+            request.max_unread_tokens;
+    return is_prefill_timely && load.requests < server.slots &&
+           load.tokens + request.work.tokens <= capacity;
 }
 
-// Each host begins to use a server that joined after a part of the span of its
-// own; what is late already, when all that can be in time had their turn.
+// Each host starts to use a server that joined after a random part of the
+// window; late requests wait until timely ones had time to start there.
 bool placer::is_joining(
-    const placement_request& wanted,
+    const placement_request& request,
     const backend_server& server,
     core::time_point now) const
 {
@@ -166,53 +170,53 @@
     if (!joined || is_alone)
         return false;
     const core::duration age = now - *joined;
-    if (wanted.purpose == placement_purpose::late_start)
-        return age < 2 * joining_span;
-    if (age >= joining_span)
+    if (request.purpose == placement_purpose::late_start)
+        return age < 2 * joining_window;
+    if (age >= joining_window)
         return false;
-    core::random own(core::stable_hash(server.id.value(), seed_));
+    core::random host_random(core::stable_hash(server.id.value(), seed_));
     return age < std::chrono::duration_cast<core::duration>(
-                     joining_span * own.unit());
+                     joining_window * host_random.unit());
 }
 
-// Hosts begin to try a server that may still be slow after a part of the span
-// of their own, and only while nobody else does.
+// Each host starts to try a server on probation after a random part of the
+// probation period, and only while no other host does.
 bool placer::is_tried_by_others(
     const backend_server& server,
     const work_size& load,
-    const server_speed& pace,
+    const server_speed& speed,
     core::time_point now) const
 {
-    if (!pace.probation_since)
+    if (!speed.probation_since)
         return false;
-    core::random own(core::stable_hash(server.id.value(), seed_));
+    core::random host_random(core::stable_hash(server.id.value(), seed_));
     return load.requests > 0 ||
-           now - *pace.probation_since <
+           now - *speed.probation_since <
                std::chrono::duration_cast<core::duration>(
-                   slow_server_detector::probation * own.unit());
+                   slow_server_detector::probation * host_random.unit());
 }
 
 double placer::cost(
-    const placement_request& wanted,
+    const placement_request& request,
     const backend_server& server,
     const work_size& load,
-    const server_speed& pace) const
+    const server_speed& speed) const
 {
     double sum = failure_cost * health_.failure_rate(server.id);
-    sum += slowness_cost * (pace.slowness - 1.0);
-    if (pace.probation_since)
-        sum += doubt_cost;
-    const bool migrates = wanted.purpose == placement_purpose::migration;
-    const bool is_far = server.zone != wanted.preferred_zone;
-    if (is_far)
-        sum += migrates ? other_zone_migration_cost : other_zone_cost;
-    if (!wanted.service->engine)
+    sum += slowness_cost * (speed.slowness - 1.0);
+    if (speed.probation_since)
+        sum += probation_cost;
+    const bool is_migration = request.purpose == placement_purpose::migration;
+    const bool is_other_zone = server.zone != request.preferred_zone;
+    if (is_other_zone)
+        sum += is_migration ? other_zone_migration_cost : other_zone_cost;
+    if (!request.service->engine)
         return sum + static_cast<double>(load.requests) /
                          std::max<std::uint32_t>(server.slots, 1);
-    const routing::engine_profile& engine = *wanted.service->engine;
-    if (migrates)
-        sum +=
-            copy_second_cost * copy_seconds(engine, wanted.work, load, is_far);
+    const routing::engine_profile& engine = *request.service->engine;
+    if (is_migration)
+        sum += copy_second_cost *
+               copy_seconds(engine, request.work, load, is_other_zone);
     sum +=
         static_cast<double>(load.tokens) /
         static_cast<double>(std::max<std::uint64_t>(engine.memory_tokens, 1));
@@ -221,43 +225,43 @@
 }
 
 tl::expected<placement_choice, placement_failure>
-placer::choose(const placement_request& wanted, core::time_point now)
+placer::choose(const placement_request& request, core::time_point now)
 {
     std::optional<placement_choice> best;
     bool best_is_avoided = true;
-    bool any = false;
+    bool has_candidate = false;
     bool is_limited = false;
     for (const backend_server* candidate :
-         directory_.usable(wanted.service->name)) {
-        if (!is_candidate(wanted, *candidate))
+         directory_.usable(request.service->name)) {
+        if (!is_candidate(request, *candidate))
             continue;
-        any = true;
-        // An engine's own word goes before what hosts told each other of it.
-        if (wanted.service->engine && (health_.is_full(candidate->id, now) ||
-                                       is_joining(wanted, *candidate, now)))
+        has_candidate = true;
+        // What an engine reports takes precedence over reports of other hosts.
+        if (request.service->engine && (health_.is_full(candidate->id, now) ||
+                                        is_joining(request, *candidate, now)))
             continue;
         const work_size load = ledger_.at(candidate->id, now);
-        const server_speed pace = paces_.at(candidate->id, now);
-        if (is_tried_by_others(*candidate, load, pace, now))
+        const server_speed speed = slow_servers_.at(candidate->id, now);
+        if (is_tried_by_others(*candidate, load, speed, now))
             continue;
-        if (!has_room(wanted, *candidate, load, pace))
+        if (!has_capacity(request, *candidate, load, speed))
             continue;
         if (!limits_.may_send(candidate->id, now)) {
             is_limited = true;
             continue;
         }
         const bool is_avoided = health_.is_avoided(candidate->id, now);
-        const double spread = wanted.purpose == placement_purpose::migration
+        const double spread = request.purpose == placement_purpose::migration
                                   ? migration_jitter
                                   : jitter;
-        const double own_cost =
-            cost(wanted, *candidate, load, pace) + spread * random_.unit();
-        const bool is_better =
-            !best || (best_is_avoided != is_avoided ? best_is_avoided
-                                                    : own_cost < best->cost);
+        const double candidate_cost =
+            cost(request, *candidate, load, speed) + spread * random_.unit();
+        const bool is_better = !best || (best_is_avoided != is_avoided
+                                             ? best_is_avoided
+                                             : candidate_cost < best->cost);
         if (!is_better)
             continue;
-        best = placement_choice{*candidate, load, own_cost};
+        best = placement_choice{*candidate, load, candidate_cost};
         best_is_avoided = is_avoided;
     }
     if (best)
@@ -265,7 +269,8 @@
     if (is_limited)
         return tl::unexpected(placement_failure::limited);
     return tl::unexpected(
-        any ? placement_failure::no_room : placement_failure::no_server);
+        has_candidate ? placement_failure::no_room
+                      : placement_failure::no_server);
 }
 
 } // namespace godwit::placement
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Counts of one life say nothing of another one, so lives come first.
+// Revisions are only comparable within one incarnation, so that the start is
+// compared first.
 std::strong_ordering
 compare_age(const backend_server& left, const backend_server& right)
 {
@@ -15,8 +16,8 @@
            std::tie(right.start, right.revision);
 }
 
-// A start that was not known before is no proof of a second life.
-bool is_new_life(const backend_server& known, const backend_server& server)
+// A start that was unknown before does not show that the server restarted.
+bool is_restart(const backend_server& known, const backend_server& server)
 {
     return known.start.is_known() && server.start > known.start;
 }
@@ -25,7 +26,7 @@
 
 directory_change server_directory::leave(entry& leaving, core::time_point now)
 {
-    leaving.lapsed_at.reset();
+    leaving.missing_since.reset();
     leaving.server.state = server_state::draining;
     if (leaving.left_at)
         return directory_change::none;
@@ -33,10 +34,11 @@
     return directory_change::left;
 }
 
-// Two living servers cannot share an address. The list may hold entries that
-// no server wrote; one of another service must not take away a living server,
-// and if it is genuine, the entry of the former server is dropped as well.
-void server_directory::replace_at(
+// Two running servers cannot share an address. The list may contain records
+// that no server wrote; one of another service must not remove a running
+// server, and if it is genuine, the record of the former server is removed as
+// well.
+void server_directory::drain_same_address(
     const backend_server& server, core::time_point now)
 {
     for (auto& [id, other] : servers_) {
@@ -51,7 +53,7 @@
 directory_change
 server_directory::add(const backend_server& server, core::time_point now)
 {
-    replace_at(server, now);
+    drain_same_address(server, now);
     entry& added =
         servers_.emplace(server.id, entry{server, {}, {}, {}}).first->second;
     if (!first_listed_at_)
@@ -64,12 +66,12 @@
     return directory_change::none;
 }
 
-// That the former life left, or that its entry lapsed, says nothing of this
-// one; like any server that has just started, it joins.
-directory_change server_directory::begin_anew(
+// Whether the former incarnation was draining, or its record expired, does not
+// matter for this one; it joins like any server that has just started.
+directory_change server_directory::restart(
     entry& known, const backend_server& server, core::time_point now)
 {
-    replace_at(server, now);
+    drain_same_address(server, now);
     known = entry{server, {}, {}, now};
     if (server.state == server_state::draining)
         known.left_at = now;
@@ -83,15 +85,15 @@
     if (found == servers_.end())
         return add(server, now);
     entry& known = found->second;
-    // A view that is older than what is known, from a slower source.
+    // An older record, from a slower source.
     const std::strong_ordering age = compare_age(server, known.server);
     const bool is_older = age == std::strong_ordering::less;
-    const bool is_no_news = age == std::strong_ordering::equal &&
-                            server.state == server_state::ready;
-    if (is_older || is_no_news)
+    const bool is_unchanged = age == std::strong_ordering::equal &&
+                              server.state == server_state::ready;
+    if (is_older || is_unchanged)
         return directory_change::none;
-    if (is_new_life(known.server, server))
-        return begin_anew(known, server, now);
+    if (is_restart(known.server, server))
+        return restart(known, server, now);
     if (server.state == server_state::draining) {
         known.server = server;
         return leave(known, now);
@@ -105,7 +107,7 @@
 {
     const auto found = servers_.find(id);
     if (found != servers_.end())
-        found->second.lapsed_at.reset();
+        found->second.missing_since.reset();
 }
 
 directory_change server_directory::delisted(
@@ -119,8 +121,8 @@
         return directory_change::none;
     if (source == source_state::steady)
         return leave(known, now);
-    if (!known.lapsed_at)
-        known.lapsed_at = now;
+    if (!known.missing_since)
+        known.missing_since = now;
     return directory_change::none;
 }
 
@@ -129,7 +131,7 @@
     std::vector<server_id> gone;
     for (auto at = servers_.begin(); at != servers_.end();) {
         entry& known = at->second;
-        if (known.lapsed_at && now - *known.lapsed_at >= expiry_grace) {
+        if (known.missing_since && now - *known.missing_since >= expiry_grace) {
             leave(known, now);
             gone.push_back(at->first);
         }
--- a/libraries/placement/src/server_health.cpp
+++ b/libraries/placement/src/server_health.cpp
@@ -10,7 +10,7 @@
     if (found == records_.end())
         return;
     record& known = found->second;
-    known.unreachable_in_a_row = 0;
+    known.consecutive_unreachable = 0;
     known.avoided_until = {};
     known.failure_rate *= 1.0 - smoothing_factor;
 }
@@ -18,7 +18,7 @@
 void server_health::record_failure(const server_id& server)
 {
     record& known = records_[server];
-    known.unreachable_in_a_row = 0;
+    known.consecutive_unreachable = 0;
     known.failure_rate =
         known.failure_rate * (1.0 - smoothing_factor) + smoothing_factor;
 }
@@ -27,10 +27,10 @@
     const server_id& server, core::time_point now)
 {
     record& known = records_[server];
-    constexpr unsigned most_doublings = 3;
+    constexpr unsigned max_doublings = 3;
     const unsigned doublings =
-        std::min(known.unreachable_in_a_row, most_doublings);
-    ++known.unreachable_in_a_row;
+        std::min(known.consecutive_unreachable, max_doublings);
+    ++known.consecutive_unreachable;
     known.avoided_until =
         now + std::min<core::duration>(
                   initial_backoff * (1U << doublings), max_backoff);
--- a/libraries/placement/src/slow_server_detector.cpp
+++ b/libraries/placement/src/slow_server_detector.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-std::optional<double> median_gap_ms(const std::vector<server_gaps>& seen)
+std::optional<double> median_gap_ms(const std::vector<server_gaps>& observed)
 {
     std::vector<double> means;
-    means.reserve(seen.size());
-    for (const server_gaps& each : seen) {
+    means.reserve(observed.size());
+    for (const server_gaps& each : observed) {
         if (const auto mean = each.decode_gap_ms())
             means.push_back(*mean);
     }
@@ -39,36 +39,36 @@
     const core::service_name& service,
     core::time_point now)
 {
-    std::vector<server_gaps> seen;
+    std::vector<server_gaps> observed;
     for (const backend_server* server : directory.usable(service)) {
         const work_size load = ledger.at(server->id, now);
-        seen.push_back({server->id, load.gaps, load.unread_tokens > 0});
+        observed.push_back({server->id, load.gaps, load.unread_tokens > 0});
     }
-    return seen;
+    return observed;
 }
 
 speed_changes slow_server_detector::compare(
-    const std::vector<server_gaps>& seen, core::time_point now)
+    const std::vector<server_gaps>& observed, core::time_point now)
 {
     speed_changes changes;
     std::erase_if(slow_, [&changes, now](const auto& each) {
-        const bool is_over =
-            now - each.second.seen_at > slow_retention + probation;
-        if (is_over)
+        const bool is_expired =
+            now - each.second.last_seen_at > slow_retention + probation;
+        if (is_expired)
             changes.recovered.push_back(each.first);
-        return is_over;
+        return is_expired;
     });
-    const auto median = median_gap_ms(seen);
+    const auto median = median_gap_ms(observed);
     if (!median)
         return changes;
-    for (const server_gaps& each : seen) {
+    for (const server_gaps& each : observed) {
         const auto mean = each.decode_gap_ms();
         if (!mean)
             continue;
-        const double times = *mean / *median;
+        const double factor = *mean / *median;
         const bool was_slow = slow_.contains(each.server);
-        if (times >= (was_slow ? recovered_threshold : slow_threshold)) {
-            slow_.insert_or_assign(each.server, slow_server{times, now});
+        if (factor >= (was_slow ? recovered_threshold : slow_threshold)) {
+            slow_.insert_or_assign(each.server, slow_server{factor, now});
             if (!was_slow)
                 changes.slower.push_back(each.server);
         } else if (was_slow) {
@@ -85,9 +85,9 @@
     const auto found = slow_.find(server);
     if (found == slow_.end())
         return {};
-    if (now - found->second.seen_at <= slow_retention)
-        return {found->second.times, std::nullopt};
-    return {1.0, found->second.seen_at + slow_retention};
+    if (now - found->second.last_seen_at <= slow_retention)
+        return {found->second.factor, std::nullopt};
+    return {1.0, found->second.last_seen_at + slow_retention};
 }
 
 } // namespace godwit::placement
--- a/tests/placement/copy_queue_test.cpp
+++ b/tests/placement/copy_queue_test.cpp
@@ -9,60 +9,60 @@
 class copy_queue_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(copy_queue_test);
-    CPPUNIT_TEST(test_what_has_most_text_left_goes_first);
-    CPPUNIT_TEST(test_equals_go_in_their_order);
-    CPPUNIT_TEST(test_servers_have_lines_of_their_own);
-    CPPUNIT_TEST(test_who_leaves_the_line_holds_up_nobody);
-    CPPUNIT_TEST(test_a_copy_counts_by_what_it_saves_on_the_link);
+    CPPUNIT_TEST(test_the_highest_priority_is_copied_first);
+    CPPUNIT_TEST(test_equal_priorities_are_copied_in_order);
+    CPPUNIT_TEST(test_servers_have_separate_queues);
+    CPPUNIT_TEST(test_a_cancelled_copy_does_not_block_others);
+    CPPUNIT_TEST(test_priority_is_output_saved_per_copied_token);
     CPPUNIT_TEST_SUITE_END();
 
     const server_id first_{"i-1"};
     const server_id second_{"i-2"};
-    copy_queue turns_;
+    copy_queue queue_;
 
-    void test_what_has_most_text_left_goes_first()
+    void test_the_highest_priority_is_copied_first()
     {
-        const auto ending = turns_.enqueue(first_, 0.01);
-        const auto begun = turns_.enqueue(first_, 0.30);
-        const auto half = turns_.enqueue(first_, 0.10);
-        CPPUNIT_ASSERT(!turns_.try_start(first_, ending));
-        CPPUNIT_ASSERT(!turns_.try_start(first_, half));
-        CPPUNIT_ASSERT(turns_.try_start(first_, begun));
-        CPPUNIT_ASSERT(!turns_.try_start(first_, half));
-        turns_.end(first_, begun);
-        CPPUNIT_ASSERT(!turns_.try_start(first_, ending));
-        CPPUNIT_ASSERT(turns_.try_start(first_, half));
+        const auto ending = queue_.enqueue(first_, 0.01);
+        const auto begun = queue_.enqueue(first_, 0.30);
+        const auto half = queue_.enqueue(first_, 0.10);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, ending));
+        CPPUNIT_ASSERT(!queue_.try_start(first_, half));
+        CPPUNIT_ASSERT(queue_.try_start(first_, begun));
+        CPPUNIT_ASSERT(!queue_.try_start(first_, half));
+        queue_.end(first_, begun);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, ending));
+        CPPUNIT_ASSERT(queue_.try_start(first_, half));
     }
 
-    void test_equals_go_in_their_order()
+    void test_equal_priorities_are_copied_in_order()
     {
-        const auto earlier = turns_.enqueue(first_, 0.2);
-        const auto later = turns_.enqueue(first_, 0.2);
-        CPPUNIT_ASSERT(!turns_.try_start(first_, later));
-        CPPUNIT_ASSERT(turns_.try_start(first_, earlier));
+        const auto earlier = queue_.enqueue(first_, 0.2);
+        const auto later = queue_.enqueue(first_, 0.2);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, later));
+        CPPUNIT_ASSERT(queue_.try_start(first_, earlier));
     }
 
-    void test_servers_have_lines_of_their_own()
+    void test_servers_have_separate_queues()
     {
-        const auto here = turns_.enqueue(first_, 0.1);
-        const auto there = turns_.enqueue(second_, 0.9);
-        CPPUNIT_ASSERT(turns_.try_start(first_, here));
-        CPPUNIT_ASSERT(turns_.try_start(second_, there));
+        const auto here = queue_.enqueue(first_, 0.1);
+        const auto there = queue_.enqueue(second_, 0.9);
+        CPPUNIT_ASSERT(queue_.try_start(first_, here));
+        CPPUNIT_ASSERT(queue_.try_start(second_, there));
     }
 
-    void test_who_leaves_the_line_holds_up_nobody()
+    void test_a_cancelled_copy_does_not_block_others()
     {
-        const auto gone = turns_.enqueue(first_, 0.9);
-        const auto next = turns_.enqueue(first_, 0.1);
-        turns_.end(first_, gone);
-        CPPUNIT_ASSERT(!turns_.try_start(first_, gone));
-        CPPUNIT_ASSERT(turns_.try_start(first_, next));
-        turns_.end(first_, next);
-        turns_.end(first_, next);
-        CPPUNIT_ASSERT(!turns_.try_start(first_, next));
+        const auto cancelled = queue_.enqueue(first_, 0.9);
+        const auto next = queue_.enqueue(first_, 0.1);
+        queue_.end(first_, cancelled);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, cancelled));
+        CPPUNIT_ASSERT(queue_.try_start(first_, next));
+        queue_.end(first_, next);
+        queue_.end(first_, next);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, next));
     }
 
-    void test_a_copy_counts_by_what_it_saves_on_the_link()
+    void test_priority_is_output_saved_per_copied_token()
     {
         const work_size small{1, 2000, 0, 0};
         const work_size large{1, 6000, 0, 0};
--- a/tests/placement/load_ledger_test.cpp
+++ b/tests/placement/load_ledger_test.cpp
@@ -15,54 +15,54 @@
 using namespace godwit::placement::test;
 namespace core = godwit::core;
 
-// The ledger keeps sums as words come; this one adds up all words at each
-// look.
-class plain_ledger
+// The ledger keeps running totals; this reference model adds up all reports at
+// each lookup.
+class summing_ledger
 {
 public:
-    void says(
-        const std::string& who,
-        bool is_whole,
-        const std::vector<server_work>& word,
+    void update(
+        const std::string& sender,
+        bool is_full,
+        const std::vector<server_work>& report,
         core::time_point now)
     {
-        told& kept = words_[who];
-        if (is_whole)
-            kept.work.clear();
-        kept.heard_at = now;
-        for (const server_work& one : word)
-            kept.work[one.server] = one.work;
+        load_report& known = reports_[sender];
+        if (is_full)
+            known.work.clear();
+        known.received_at = now;
+        for (const server_work& one : report)
+            known.work[one.server] = one.work;
     }
 
-    void forget(const std::string& who) { words_.erase(who); }
+    void forget(const std::string& sender) { reports_.erase(sender); }
 
     work_size at(const server_id& server, core::time_point now) const
     {
         work_size sum;
-        for (const auto& [who, word] : words_) {
-            const auto found = word.work.find(server);
-            if (found != word.work.end() &&
-                now - word.heard_at <= load_ledger::report_lifetime)
+        for (const auto& [sender, report] : reports_) {
+            const auto found = report.work.find(server);
+            if (found != report.work.end() &&
+                now - report.received_at <= load_ledger::report_lifetime)
                 sum += found->second;
         }
         return sum;
     }
 
 private:
-    struct told
+    struct load_report
     {
         std::map<server_id, work_size> work;
-        core::time_point heard_at;
+        core::time_point received_at;
     };
 
-    std::map<std::string, told> words_;
+    std::map<std::string, load_report> reports_;
 };
 
 class load_ledger_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(load_ledger_test);
-    CPPUNIT_TEST(test_kept_sums_are_the_sums_of_all_words);
-    CPPUNIT_TEST(test_changes_after_a_silence_complete_what_was_told);
+    CPPUNIT_TEST(test_running_totals_equal_the_sum_of_all_reports);
+    CPPUNIT_TEST(test_changes_apply_to_an_expired_report);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr int servers = 12;
@@ -72,14 +72,14 @@
         return server_id("i-" + std::to_string(number));
     }
 
-    static std::vector<server_work> some_word(core::random& random)
+    static std::vector<server_work> random_report(core::random& random)
     {
-        std::vector<server_work> word;
+        std::vector<server_work> report;
         for (int each = 0; each < servers; ++each) {
             if (random.below(3) != 0)
                 continue;
             work_size work;
-            // Some of it has ended.
+            // No work means that it has ended.
             if (random.below(4) != 0)
                 work = work_size{
                     1,
@@ -87,54 +87,55 @@
                     random.below(3000),
                     random.below(100),
                     {1, static_cast<std::uint32_t>(random.below(200))}};
-            word.push_back({server(static_cast<std::uint64_t>(each)), work});
+            report.push_back({server(static_cast<std::uint64_t>(each)), work});
         }
-        return word;
+        return report;
     }
 
-    // Words come, change, lapse and are given up in any order.
-    void test_kept_sums_are_the_sums_of_all_words()
+    // Reports arrive, change, expire and are removed in any order.
+    void test_running_totals_equal_the_sum_of_all_reports()
     {
         core::random random(11);
         load_ledger ledger;
-        plain_ledger plain;
+        summing_ledger summing;
         int now_ms = 0;
         for (int step = 0; step < 3000; ++step) {
             now_ms += static_cast<int>(random.below(400));
             const auto now = at_ms(now_ms);
-            const std::uint64_t who = random.below(6);
-            const std::string name = "h-" + std::to_string(who);
-            const auto word = some_word(random);
-            if (who < 3) {
-                ledger.update_from_neighbour(core::host_name(name), word, now);
-                plain.says(name, true, word, now);
+            const std::uint64_t sender = random.below(6);
+            const std::string name = "h-" + std::to_string(sender);
+            const auto report = random_report(random);
+            if (sender < 3) {
+                ledger.update_from_neighbour(
+                    core::host_name(name), report, now);
+                summing.update(name, true, report, now);
             } else {
-                const bool is_whole = random.below(3) == 0;
+                const bool is_full = random.below(3) == 0;
                 ledger.update_from_group(
                     host_group(name),
-                    is_whole ? report_extent::full : report_extent::changes,
-                    word,
+                    is_full ? report_extent::full : report_extent::changes,
+                    report,
                     now);
-                plain.says(name, is_whole, word, now);
+                summing.update(name, is_full, report, now);
             }
             if (random.below(50) == 0) {
                 ledger.retain_neighbours({core::host_name("h-1")});
-                plain.forget("h-0");
-                plain.forget("h-2");
+                summing.forget("h-0");
+                summing.forget("h-2");
             }
-            // Some words lapse before they are looked at.
+            // Some reports expire before the next lookup.
             if (random.below(20) == 0)
                 now_ms += 3500;
             for (int each = 0; each < servers; ++each) {
                 const auto id = server(static_cast<std::uint64_t>(each));
                 CPPUNIT_ASSERT(
                     ledger.at(id, at_ms(now_ms)) ==
-                    plain.at(id, at_ms(now_ms)));
+                    summing.at(id, at_ms(now_ms)));
             }
         }
     }
 
-    void test_changes_after_a_silence_complete_what_was_told()
+    void test_changes_apply_to_an_expired_report()
     {
         load_ledger ledger;
         const host_group west("west/0");
--- a/tests/placement/samples.hpp
+++ b/tests/placement/samples.hpp
@@ -7,7 +7,7 @@
 
 namespace godwit::placement::test {
 
-/// A ready server of "lm"; its address ends in `number`.
+/// Returns a ready server of "lm" with a port derived from `number`.
 inline backend_server sample_server(
     int number, const std::string& zone = "east", std::uint64_t revision = 1)
 {
@@ -23,7 +23,7 @@
         revision};
 }
 
-inline backend_server leaving(backend_server server)
+inline backend_server draining(backend_server server)
 {
     server.state = server_state::draining;
     ++server.revision;
--- a/tests/placement/slow_server_detector_test.cpp
+++ b/tests/placement/slow_server_detector_test.cpp
@@ -26,36 +26,36 @@
 {
     CPPUNIT_TEST_SUITE(slow_server_detector_test);
     CPPUNIT_TEST(test_a_server_that_writes_much_slower_is_slow);
-    CPPUNIT_TEST(test_reading_prompts_makes_no_server_slow);
-    CPPUNIT_TEST(test_a_slow_server_stays_slow_until_it_is_much_quicker);
-    CPPUNIT_TEST(test_all_slow_at_once_is_load);
+    CPPUNIT_TEST(test_prefill_does_not_mark_a_server_slow);
+    CPPUNIT_TEST(test_a_slow_server_recovers_below_the_lower_threshold);
+    CPPUNIT_TEST(test_load_on_all_servers_marks_none_slow);
     CPPUNIT_TEST(test_few_servers_are_not_compared);
-    CPPUNIT_TEST(test_gaps_that_nobody_notices_make_no_server_slow);
-    CPPUNIT_TEST(test_a_server_that_is_quick_again_is_so_at_once);
-    CPPUNIT_TEST(test_a_server_without_streams_is_tried_again_in_time);
+    CPPUNIT_TEST(test_imperceptible_gaps_mark_no_server_slow);
+    CPPUNIT_TEST(test_a_recovered_server_is_unmarked_at_once);
+    CPPUNIT_TEST(test_a_slow_server_without_streams_goes_on_probation);
     CPPUNIT_TEST(test_two_late_events_show_a_slow_server);
-    CPPUNIT_TEST(test_a_gap_that_was_interrupted_does_not_count);
-    CPPUNIT_TEST(test_a_stream_that_stood_still_is_bounded);
-    CPPUNIT_TEST(test_events_that_came_together_share_their_gap);
-    CPPUNIT_TEST(test_only_means_far_apart_are_told_at_once);
+    CPPUNIT_TEST(test_a_skipped_gap_does_not_count);
+    CPPUNIT_TEST(test_long_gaps_are_bounded);
+    CPPUNIT_TEST(test_simultaneous_events_share_their_gap);
+    CPPUNIT_TEST(test_only_large_differences_are_significant);
     CPPUNIT_TEST_SUITE_END();
 
-    slow_server_detector paces_;
+    slow_server_detector detector_;
 
     double slowness(int server, int now_ms)
     {
-        return pace(server, now_ms).slowness;
+        return speed(server, now_ms).slowness;
     }
 
     std::optional<godwit::core::time_point>
     probation_since(int server, int now_ms)
     {
-        return pace(server, now_ms).probation_since;
+        return speed(server, now_ms).probation_since;
     }
 
-    server_speed pace(int server, int now_ms)
+    server_speed speed(int server, int now_ms)
     {
-        return paces_.at(
+        return detector_.at(
             server_id("i-" + std::to_string(server)), at_ms(now_ms));
     }
 
@@ -71,61 +71,65 @@
 
     void test_a_server_that_writes_much_slower_is_slow()
     {
-        const auto changes = paces_.compare(with_last(140), at_ms(0));
+        const auto changes = detector_.compare(with_last(140), at_ms(0));
         CPPUNIT_ASSERT(changes.slower == std::vector{server_id("i-4")});
         CPPUNIT_ASSERT(changes.recovered.empty());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.5, slowness(4, 0), 0.01);
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(1, 0));
-        // It is news once.
+        // The change is reported once.
         CPPUNIT_ASSERT(
-            paces_.compare(with_last(140), at_ms(100)) == speed_changes());
+            detector_.compare(with_last(140), at_ms(100)) == speed_changes());
     }
 
-    void test_reading_prompts_makes_no_server_slow()
+    void test_prefill_does_not_mark_a_server_slow()
     {
-        auto seen = with_last(80);
-        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(0)) == speed_changes());
+        auto observed = with_last(80);
+        CPPUNIT_ASSERT(
+            detector_.compare(observed, at_ms(0)) == speed_changes());
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(4, 0));
-        // As long as it reads, it is compared by what it would write.
-        seen.back().gaps = {2, 2 * 120};
-        seen.back().is_prefilling = true;
-        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(100)) == speed_changes());
-        seen.back().gaps = {2, 2 * 280};
+        // While it prefills, its gap without prefill is compared.
+        observed.back().gaps = {2, 2 * 120};
+        observed.back().is_prefilling = true;
+        CPPUNIT_ASSERT(
+            detector_.compare(observed, at_ms(100)) == speed_changes());
+        observed.back().gaps = {2, 2 * 280};
         CPPUNIT_ASSERT_EQUAL(
-            std::size_t{1}, paces_.compare(seen, at_ms(200)).slower.size());
+            std::size_t{1},
+            detector_.compare(observed, at_ms(200)).slower.size());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.5, slowness(4, 200), 0.01);
     }
 
-    // A moment's better pace brings it no prompts.
-    void test_a_slow_server_stays_slow_until_it_is_much_quicker()
+    // A short improvement must not attract prompts.
+    void test_a_slow_server_recovers_below_the_lower_threshold()
     {
         [[maybe_unused]] const auto before =
-            paces_.compare(with_last(140), at_ms(0));
+            detector_.compare(with_last(140), at_ms(0));
         CPPUNIT_ASSERT(
-            paces_.compare(with_last(64), at_ms(100)) == speed_changes());
+            detector_.compare(with_last(64), at_ms(100)) == speed_changes());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1.6, slowness(4, 100), 0.01);
     }
 
-    void test_all_slow_at_once_is_load()
+    void test_load_on_all_servers_marks_none_slow()
     {
-        std::vector<server_gaps> seen;
+        std::vector<server_gaps> observed;
         for (int server = 1; server <= 8; ++server)
-            seen.push_back(gaps_of(server, 3, 140));
-        CPPUNIT_ASSERT(paces_.compare(seen, at_ms(0)) == speed_changes());
+            observed.push_back(gaps_of(server, 3, 140));
+        CPPUNIT_ASSERT(
+            detector_.compare(observed, at_ms(0)) == speed_changes());
     }
 
     void test_few_servers_are_not_compared()
     {
         CPPUNIT_ASSERT(
-            paces_.compare(
+            detector_.compare(
                 {gaps_of(1, 3, 40), gaps_of(2, 3, 40), gaps_of(4, 3, 400)},
                 at_ms(0)) == speed_changes());
     }
 
-    void test_gaps_that_nobody_notices_make_no_server_slow()
+    void test_imperceptible_gaps_mark_no_server_slow()
     {
         CPPUNIT_ASSERT(
-            paces_.compare(
+            detector_.compare(
                 {gaps_of(1, 3, 5),
                  gaps_of(2, 3, 5),
                  gaps_of(3, 3, 5),
@@ -133,77 +137,78 @@
                 at_ms(0)) == speed_changes());
     }
 
-    void test_a_server_that_is_quick_again_is_so_at_once()
+    void test_a_recovered_server_is_unmarked_at_once()
     {
         [[maybe_unused]] const auto before =
-            paces_.compare(with_last(140), at_ms(0));
-        const auto changes = paces_.compare(with_last(40), at_ms(100));
+            detector_.compare(with_last(140), at_ms(0));
+        const auto changes = detector_.compare(with_last(40), at_ms(100));
         CPPUNIT_ASSERT(changes.recovered == std::vector{server_id("i-4")});
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(4, 100));
     }
 
-    void test_a_server_without_streams_is_tried_again_in_time()
+    void test_a_slow_server_without_streams_goes_on_probation()
     {
         [[maybe_unused]] const auto before =
-            paces_.compare(with_last(140), at_ms(0));
+            detector_.compare(with_last(140), at_ms(0));
         [[maybe_unused]] const auto silent =
-            paces_.compare(with_last(0, 0), at_ms(1900));
+            detector_.compare(with_last(0, 0), at_ms(1900));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.5, slowness(4, 1900), 0.01);
         CPPUNIT_ASSERT(!probation_since(4, 2000));
         CPPUNIT_ASSERT(
-            paces_.compare(with_last(0, 0), at_ms(2001)) == speed_changes());
+            detector_.compare(with_last(0, 0), at_ms(2001)) == speed_changes());
         CPPUNIT_ASSERT_EQUAL(1.0, slowness(4, 2001));
         CPPUNIT_ASSERT(probation_since(4, 2001) == at_ms(2000));
         CPPUNIT_ASSERT(!probation_since(1, 2001));
-        const auto changes = paces_.compare(with_last(0, 0), at_ms(12'001));
+        const auto changes = detector_.compare(with_last(0, 0), at_ms(12'001));
         CPPUNIT_ASSERT(changes.recovered == std::vector{server_id("i-4")});
         CPPUNIT_ASSERT(!probation_since(4, 12'001));
     }
 
     static event_gap_tracker steady(int events, int gap_ms)
     {
-        event_gap_tracker rhythm;
+        event_gap_tracker tracker;
         for (int each = 0; each < events; ++each)
-            rhythm.record_events(1, at_ms(each * gap_ms));
-        return rhythm;
+            tracker.record_events(1, at_ms(each * gap_ms));
+        return tracker;
     }
 
     void test_two_late_events_show_a_slow_server()
     {
-        event_gap_tracker rhythm = steady(10, 36);
-        CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 36}));
+        event_gap_tracker tracker = steady(10, 36);
+        CPPUNIT_ASSERT(tracker.gaps() == (event_gaps{1, 36}));
         const int last = 9 * 36;
-        rhythm.record_events(1, at_ms(last + 126));
-        rhythm.record_events(1, at_ms(last + 2 * 126));
+        tracker.record_events(1, at_ms(last + 126));
+        tracker.record_events(1, at_ms(last + 2 * 126));
         CPPUNIT_ASSERT(
-            rhythm.gaps().total_ms > 36 * slow_server_detector::slow_threshold);
+            tracker.gaps().total_ms >
+            36 * slow_server_detector::slow_threshold);
     }
 
-    void test_a_gap_that_was_interrupted_does_not_count()
+    void test_a_skipped_gap_does_not_count()
     {
-        event_gap_tracker rhythm = steady(10, 36);
-        rhythm.skip_next_gap();
-        rhythm.record_events(1, at_ms(9 * 36 + 900));
-        CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 36}));
+        event_gap_tracker tracker = steady(10, 36);
+        tracker.skip_next_gap();
+        tracker.record_events(1, at_ms(9 * 36 + 900));
+        CPPUNIT_ASSERT(tracker.gaps() == (event_gaps{1, 36}));
     }
 
-    void test_a_stream_that_stood_still_is_bounded()
+    void test_long_gaps_are_bounded()
     {
-        event_gap_tracker rhythm = steady(1, 36);
-        CPPUNIT_ASSERT(rhythm.gaps() == event_gaps());
-        rhythm.record_events(1, at_ms(60'000));
-        CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 2000}));
+        event_gap_tracker tracker = steady(1, 36);
+        CPPUNIT_ASSERT(tracker.gaps() == event_gaps());
+        tracker.record_events(1, at_ms(60'000));
+        CPPUNIT_ASSERT(tracker.gaps() == (event_gaps{1, 2000}));
     }
 
-    void test_events_that_came_together_share_their_gap()
+    void test_simultaneous_events_share_their_gap()
     {
-        event_gap_tracker rhythm = steady(1, 36);
-        rhythm.record_events(0, at_ms(50));
-        rhythm.record_events(4, at_ms(144));
-        CPPUNIT_ASSERT(rhythm.gaps() == (event_gaps{1, 36}));
+        event_gap_tracker tracker = steady(1, 36);
+        tracker.record_events(0, at_ms(50));
+        tracker.record_events(4, at_ms(144));
+        CPPUNIT_ASSERT(tracker.gaps() == (event_gaps{1, 36}));
     }
 
-    void test_only_means_far_apart_are_told_at_once()
+    void test_only_large_differences_are_significant()
     {
         CPPUNIT_ASSERT(!differ_significantly({2, 80}, {3, 150}));
         CPPUNIT_ASSERT(differ_significantly({2, 80}, {3, 240}));
