--- a/libraries/placement/include/godwit/placement/server_directory.hpp
+++ b/libraries/placement/include/godwit/placement/server_directory.hpp
@@ -105,7 +105,7 @@
     directory_change add(const backend_server& server, core::time_point now);
     directory_change
     restart(entry& known, const backend_server& server, core::time_point now);
-    directory_change leave(entry& leaving, core::time_point now);
+    directory_change mark_draining(entry& target, core::time_point now);
     void drain_same_address(const backend_server& server, core::time_point now);
 
     std::map<server_id, entry> servers_;
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -24,13 +24,14 @@
 
 } // namespace
 
-directory_change server_directory::leave(entry& leaving, core::time_point now)
+directory_change
+server_directory::mark_draining(entry& target, core::time_point now)
 {
-    leaving.missing_since.reset();
-    leaving.server.state = server_state::draining;
-    if (leaving.left_at)
+    target.missing_since.reset();
+    target.server.state = server_state::draining;
+    if (target.left_at)
         return directory_change::none;
-    leaving.left_at = now;
+    target.left_at = now;
     return directory_change::left;
 }
 
@@ -46,7 +47,7 @@
                                  other.server.service == server.service &&
                                  other.server.address == server.address;
         if (is_replaced)
-            leave(other, now);
+            mark_draining(other, now);
     }
 }
 
@@ -96,7 +97,7 @@
         return restart(known, server, now);
     if (server.state == server_state::draining) {
         known.server = server;
-        return leave(known, now);
+        return mark_draining(known, now);
     }
     const bool was_usable = !known.left_at;
     known = entry{server, {}, {}, known.joined_at};
@@ -120,7 +121,7 @@
     if (known.left_at)
         return directory_change::none;
     if (source == source_state::steady)
-        return leave(known, now);
+        return mark_draining(known, now);
     if (!known.missing_since)
         known.missing_since = now;
     return directory_change::none;
@@ -132,7 +133,7 @@
     for (auto at = servers_.begin(); at != servers_.end();) {
         entry& known = at->second;
         if (known.missing_since && now - *known.missing_since >= expiry_grace) {
-            leave(known, now);
+            mark_draining(known, now);
             gone.push_back(at->first);
         }
         if (known.left_at && now - *known.left_at >= departed_retention)
--- a/libraries/routing/include/godwit/routing/caller_limits.hpp
+++ b/libraries/routing/include/godwit/routing/caller_limits.hpp
@@ -7,7 +7,7 @@
 
 namespace godwit::routing {
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of callers' requests.
 struct caller_limits
 {
     std::size_t header_bytes = std::size_t{16} * 1024;
--- a/libraries/routing/include/godwit/routing/organisation.hpp
+++ b/libraries/routing/include/godwit/routing/organisation.hpp
@@ -8,12 +8,12 @@
 
 namespace godwit::routing {
 
-/// Who sends requests, and the keys that prove it.
+/// A customer that sends requests, and the keys that authenticate it.
 struct organisation
 {
     core::organisation_name name;
     std::vector<std::string> keys;
-    std::optional<int> priority; ///< Goes before the route's.
+    std::optional<int> priority; ///< Overrides the route's.
 
     friend bool operator==(const organisation&, const organisation&) = default;
 };
--- a/libraries/routing/include/godwit/routing/response_mode.hpp
+++ b/libraries/routing/include/godwit/routing/response_mode.hpp
@@ -2,11 +2,11 @@
 
 namespace godwit::routing {
 
-/// How the answers of a route come.
+/// How the responses of a route are delivered.
 enum class response_mode
 {
     buffered,     ///< One body, delivered when it is complete.
-    event_stream, ///< Events with rising ids, delivered as they come.
+    event_stream, ///< Events with increasing ids, delivered as they arrive.
 };
 
 } // namespace godwit::routing
--- a/libraries/routing/include/godwit/routing/retry_semantics.hpp
+++ b/libraries/routing/include/godwit/routing/retry_semantics.hpp
@@ -2,11 +2,11 @@
 
 namespace godwit::routing {
 
-/// How often a backend server may run one request of a caller.
+/// How often a caller's request may be executed.
 enum class retry_semantics
 {
     idempotent,   ///< More than once without harm.
-    at_most_once, ///< A second run would be a second effect.
+    at_most_once, ///< A second execution would have a second effect.
 };
 
 } // namespace godwit::routing
--- a/libraries/routing/include/godwit/routing/route.hpp
+++ b/libraries/routing/include/godwit/routing/route.hpp
@@ -11,8 +11,8 @@
 
 namespace godwit::routing {
 
-/// Where the requests of one host and path prefix go, and what their
-/// callers expect.
+/// The services that handle requests with a host and path prefix, and what
+/// their callers expect.
 struct route
 {
     std::string name;
@@ -20,15 +20,15 @@
     std::string path_prefix; ///< Begins and ends with a slash.
     response_mode mode = response_mode::buffered;
     retry_semantics retries = retry_semantics::at_most_once;
-    /// The longest time that a caller is kept waiting for the whole answer.
+    /// Longest time until the complete response.
     core::duration timeout = std::chrono::seconds(30);
-    /// Until the answer, or the first event of a stream.
+    /// Until the response, or the first event of a stream.
     core::duration latency_objective = std::chrono::seconds(1);
-    /// The longest pause between two events that counts as on time.
+    /// Longest gap between two events that counts as on time.
     core::duration gap_objective = std::chrono::milliseconds(200);
     unsigned max_attempts = 1; ///< Backend servers that may run a request.
     int priority = 0;          ///< 0 is the most urgent.
-    bool is_public = false;    ///< Needs no key.
+    bool is_public = false;    ///< Requires no key.
     std::vector<weighted_service> services; ///< At least one.
 
     friend bool operator==(const route&, const route&) = default;
--- a/libraries/routing/include/godwit/routing/route_table.hpp
+++ b/libraries/routing/include/godwit/routing/route_table.hpp
@@ -17,10 +17,10 @@
 
 namespace godwit::routing {
 
-/// What a route table is made of.
+/// The content of a route table.
 struct route_table_content
 {
-    std::uint64_t version = 0; ///< Rises with each accepted change.
+    std::uint64_t version = 0; ///< Increases with each accepted change.
     std::vector<route> routes;
     std::vector<service> services;
     std::vector<organisation> organisations;
@@ -30,13 +30,13 @@
         const route_table_content&, const route_table_content&) = default;
 };
 
-/// One version of the routes, services and organisations, immutable.
+/// An immutable version of the routes, services and organisations.
 class route_table
 {
 public:
-    /// Fails with `invalid_input` on a prefix that does not begin and end
-    /// with a slash, a route without a service or to one that is not there,
-    /// or a key of two organisations. Of two routes of one host and prefix the
+    /// Fails with `invalid_input` if a prefix does not start and end with a
+    /// slash, a route has no service or an unknown one, or two organisations
+    /// have the same key. Of two routes with the same host and prefix, the
     /// first one is used.
     [[nodiscard]] static core::result<std::shared_ptr<const route_table>>
     create(route_table_content content);
@@ -51,23 +51,23 @@
         return content_;
     }
 
-    /// The route of `host` (a port behind it is ignored) with the longest
-    /// prefix that begins `path`, or null.
+    /// Returns the route of `host` (without its port) with the longest prefix
+    /// of `path`, or null.
     [[nodiscard]] const route*
     find_route(std::string_view host, std::string_view path) const;
 
-    /// The service of that name, or null.
+    /// Returns the service with that name, or null.
     [[nodiscard]] const service*
     find_service(const core::service_name& name) const;
 
-    /// Whether the service of that name is a language model's.
+    /// Whether the service with that name is a language model.
     [[nodiscard]] bool has_engines(const core::service_name& name) const;
 
-    /// The organisation that holds `key`, or null.
+    /// Returns the organisation that has `key`, or null.
     [[nodiscard]] const organisation*
     find_organisation(const std::string& key) const;
 
-    /// Whether requests have to carry a key at all.
+    /// Whether requests need a key at all.
     [[nodiscard]] bool has_organisations() const noexcept
     {
         return !content_.organisations.empty();
@@ -81,7 +81,8 @@
 private:
     friend class route_table_builder;
 
-    // Texts are looked up by parts of a request's path, without a copy.
+    // Transparent, so that parts of a request's path are looked up without a
+    // copy.
     struct text_hash
     {
         using is_transparent = void;
@@ -99,18 +100,19 @@
     struct host_routes
     {
         text_map<std::size_t> by_prefix;
-        std::size_t longest_prefix = 0; ///< Its length in bytes.
+        std::size_t longest_prefix = 0; ///< In bytes.
     };
 
     explicit route_table(route_table_content content);
 
     void index_services();
-    [[nodiscard]] core::result<void> index_route(std::size_t at);
-    [[nodiscard]] core::result<void> index_organisation(std::size_t at);
+    [[nodiscard]] core::result<void> index_route(std::size_t index);
+    [[nodiscard]] core::result<void> index_organisation(std::size_t index);
     [[nodiscard]] core::result<void> check(const route& checked) const;
 
     route_table_content content_;
-    // Positions in the content, so that a table stays valid when moved.
+    // The maps hold indices into the content, so that a table stays valid when
+    // it is moved.
     text_map<host_routes> routes_by_host_;
     std::unordered_map<core::service_name, std::size_t> services_;
     std::unordered_map<std::string, std::size_t> organisations_by_key_;
--- a/libraries/routing/include/godwit/routing/route_table_builder.hpp
+++ b/libraries/routing/include/godwit/routing/route_table_builder.hpp
@@ -8,18 +8,18 @@
 
 namespace godwit::routing {
 
-/// Makes a route table bit by bit, so that whoever makes a large one can do
-/// other things in between.
+/// Builds a route table in steps, so that the caller can do other work between
+/// the steps of a large one.
 class route_table_builder
 {
 public:
     explicit route_table_builder(route_table_content content);
 
-    /// Checks and indexes up to `count` further entries; true once it has
-    /// done all of them. Fails as `route_table::create` does.
+    /// Checks and indexes up to `count` further entries; returns whether all
+    /// entries are done. Fails like `route_table::create`.
     [[nodiscard]] core::result<bool> index_next(std::size_t count);
 
-    /// The table, once `index_next` said that all is done.
+    /// Returns the table; call it after `index_next` returned true.
     [[nodiscard]] std::shared_ptr<const route_table> finish();
 
 private:
--- a/libraries/routing/include/godwit/routing/service.hpp
+++ b/libraries/routing/include/godwit/routing/service.hpp
@@ -9,14 +9,14 @@
 
 namespace godwit::routing {
 
-/// A group of equal backend servers.
+/// A group of interchangeable backend servers.
 struct service
 {
     core::service_name name;
     std::string health_path;
     /// Connections that one server accepts from all hosts together.
     std::uint32_t max_connections = 0;
-    std::optional<engine_profile> engine; ///< Only of a language model.
+    std::optional<engine_profile> engine; ///< Only for a language model.
 
     friend bool operator==(const service&, const service&) = default;
 };
--- a/libraries/routing/include/godwit/routing/weighted_service.hpp
+++ b/libraries/routing/include/godwit/routing/weighted_service.hpp
@@ -4,11 +4,11 @@
 
 namespace godwit::routing {
 
-/// A service that takes a share of a route's requests.
+/// A service that gets a share of a route's requests.
 struct weighted_service
 {
     core::service_name service;
-    double weight = 1.0; ///< Against the sum of the route's weights.
+    double weight = 1.0; ///< Relative to the sum of the route's weights.
 
     friend bool
     operator==(const weighted_service&, const weighted_service&) = default;
--- a/libraries/routing/src/route_table.cpp
+++ b/libraries/routing/src/route_table.cpp
@@ -26,12 +26,12 @@
     return host.substr(0, host.find(':'));
 }
 
-core::error refusal(std::string what)
+core::error invalid_table(std::string what)
 {
     return core::error(
         core::error_kind::invalid_input,
         std::move(what),
-        "publish a corrected table; the last good one stays in force");
+        "publish a corrected table; the last valid one stays in force");
 }
 
 } // namespace
@@ -53,49 +53,49 @@
 {
     const std::string& prefix = checked.path_prefix;
     if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
-        return tl::unexpected(refusal(
+        return tl::unexpected(invalid_table(
             "route " + checked.name + ": the prefix \"" + prefix +
-            "\" does not begin and end with a slash"));
+            "\" does not start and end with a slash"));
     if (checked.services.empty())
         return tl::unexpected(
-            refusal("route " + checked.name + " names no service"));
-    for (const weighted_service& one : checked.services) {
-        if (!services_.contains(one.service))
-            return tl::unexpected(refusal(
-                "route " + checked.name + " names the service " +
-                one.service.value() + ", which is not there"));
+            invalid_table("route " + checked.name + " has no service"));
+    for (const weighted_service& weighted : checked.services) {
+        if (!services_.contains(weighted.service))
+            return tl::unexpected(invalid_table(
+                "route " + checked.name + " uses the service " +
+                weighted.service.value() + ", which does not exist"));
     }
     return {};
 }
 
 void route_table::index_services()
 {
-    for (std::size_t at = 0; at < content_.services.size(); ++at)
-        services_.emplace(content_.services[at].name, at);
+    for (std::size_t index = 0; index < content_.services.size(); ++index)
+        services_.emplace(content_.services[index].name, index);
     organisations_by_key_.reserve(content_.organisations.size());
 }
 
-core::result<void> route_table::index_route(std::size_t at)
+core::result<void> route_table::index_route(std::size_t index)
 {
-    const route& added = content_.routes[at];
+    const route& added = content_.routes[index];
     const auto checked = check(added);
     if (!checked)
         return checked;
-    host_routes& of_host = routes_by_host_[lower_case(added.host)];
-    of_host.by_prefix.emplace(added.path_prefix, at);
-    of_host.longest_prefix =
-        std::max(of_host.longest_prefix, added.path_prefix.size());
+    host_routes& routes = routes_by_host_[lower_case(added.host)];
+    routes.by_prefix.emplace(added.path_prefix, index);
+    routes.longest_prefix =
+        std::max(routes.longest_prefix, added.path_prefix.size());
     return {};
 }
 
-core::result<void> route_table::index_organisation(std::size_t at)
+core::result<void> route_table::index_organisation(std::size_t index)
 {
-    for (const std::string& key : content_.organisations[at].keys) {
-        const auto [holder, is_new] = organisations_by_key_.emplace(key, at);
-        if (!is_new && holder->second != at)
-            return tl::unexpected(refusal(
-                "organisation " + content_.organisations[at].name.value() +
-                " holds a key of another one"));
+    for (const std::string& key : content_.organisations[index].keys) {
+        const auto [owner, is_new] = organisations_by_key_.emplace(key, index);
+        if (!is_new && owner->second != index)
+            return tl::unexpected(invalid_table(
+                "organisation " + content_.organisations[index].name.value() +
+                " has a key of another organisation"));
     }
     return {};
 }
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -46,10 +46,10 @@
     CPPUNIT_TEST(test_longest_prefix_of_the_host_wins);
     CPPUNIT_TEST(test_paths_of_any_length);
     CPPUNIT_TEST(test_the_first_of_two_equal_routes_is_used);
-    CPPUNIT_TEST(test_host_without_regard_to_case_and_port);
-    CPPUNIT_TEST(test_keys_name_their_organisation);
-    CPPUNIT_TEST(test_a_key_that_an_organisation_names_twice_is_its_own);
-    CPPUNIT_TEST(test_contradictions_are_refused);
+    CPPUNIT_TEST(test_host_ignores_case_and_port);
+    CPPUNIT_TEST(test_keys_identify_their_organisation);
+    CPPUNIT_TEST(test_a_duplicate_key_of_one_organisation_is_accepted);
+    CPPUNIT_TEST(test_invalid_tables_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string routed(const std::string& host, const std::string& path)
@@ -94,23 +94,23 @@
             table->find_route("a.example", "/x/1")->name);
     }
 
-    void test_host_without_regard_to_case_and_port()
+    void test_host_ignores_case_and_port()
     {
         CPPUNIT_ASSERT_EQUAL(
             std::string("other"), routed("B.Example:8080", "/x/1"));
     }
 
-    void test_keys_name_their_organisation()
+    void test_keys_identify_their_organisation()
     {
         const auto table = route_table::create(sample()).value();
-        const auto* holder = table->find_organisation("key-2");
-        CPPUNIT_ASSERT(holder != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::string("north"), holder->name.value());
+        const auto* owner = table->find_organisation("key-2");
+        CPPUNIT_ASSERT(owner != nullptr);
+        CPPUNIT_ASSERT_EQUAL(std::string("north"), owner->name.value());
         CPPUNIT_ASSERT(table->find_organisation("key") == nullptr);
         CPPUNIT_ASSERT(table->find_organisation("") == nullptr);
     }
 
-    void test_a_key_that_an_organisation_names_twice_is_its_own()
+    void test_a_duplicate_key_of_one_organisation_is_accepted()
     {
         auto content = sample();
         content.organisations[0].keys = {"key-1", "key-2", "key-1"};
@@ -119,7 +119,7 @@
         CPPUNIT_ASSERT((*table)->find_organisation("key-1") != nullptr);
     }
 
-    void test_contradictions_are_refused()
+    void test_invalid_tables_are_rejected()
     {
         auto content = sample();
         content.routes[0].path_prefix = "x/";
