--- a/libraries/replay/include/godwit/replay/fleet_replay.hpp
+++ b/libraries/replay/include/godwit/replay/fleet_replay.hpp
@@ -9,11 +9,11 @@
 
 namespace godwit::replay {
 
-/// Plays the orders on the fleet until `end`: what became of each, in their
-/// order. The same arguments give the same result.
+/// Simulates the requests on the fleet until `end` and returns their outcomes
+/// in the same order. The result is deterministic.
 [[nodiscard]] std::vector<generation_outcome> replay_fleet(
     const fleet_config& fleet,
-    const std::vector<generation_request>& orders,
+    const std::vector<generation_request>& requests,
     core::time_point end);
 
 } // namespace godwit::replay
--- a/libraries/replay/include/godwit/replay/generation_outcome.hpp
+++ b/libraries/replay/include/godwit/replay/generation_outcome.hpp
@@ -8,15 +8,15 @@
 
 namespace godwit::replay {
 
-/// What became of a generation.
+/// The outcome of a generation.
 struct generation_outcome
 {
     std::optional<core::time_point> placed;
     std::optional<std::size_t> engine; ///< Where it was placed.
     std::optional<core::time_point> first_event;
     std::optional<core::time_point> ended;
-    std::optional<core::time_point> turned_away;
-    core::duration longest_pause{}; ///< Between two of its events.
+    std::optional<core::time_point> rejected;
+    core::duration max_gap{}; ///< Between two of its events.
     std::uint32_t preemptions = 0;
 
     friend bool
--- a/libraries/replay/include/godwit/replay/generation_request.hpp
+++ b/libraries/replay/include/godwit/replay/generation_request.hpp
@@ -7,17 +7,17 @@
 
 namespace godwit::replay {
 
-/// A generation that a caller asks for.
+/// A caller's request for a generation.
 struct generation_request
 {
-    std::size_t host = 0; ///< The entry host that its caller reaches.
-    core::time_point arrives;
-    core::duration objective{}; ///< Until the first event.
-    core::duration patience{};  ///< Until the caller leaves.
-    int priority = 0;           ///< 0 is the most urgent.
+    std::size_t host = 0; ///< The entry host that receives it.
+    core::time_point arrival_time;
+    core::duration latency_objective{}; ///< Until the first event.
+    core::duration caller_timeout{};    ///< Until the caller disconnects.
+    int priority = 0;                   ///< 0 is the most urgent.
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t output_tokens = 0;   ///< That it will write.
-    std::uint32_t expected_tokens = 0; ///< Its caller's guess.
+    std::uint32_t output_tokens = 0;          ///< The actual output.
+    std::uint32_t expected_output_tokens = 0; ///< The caller's estimate.
 
     friend bool
     operator==(const generation_request&, const generation_request&) = default;
--- a/libraries/replay/include/godwit/replay/simulated_engine.hpp
+++ b/libraries/replay/include/godwit/replay/simulated_engine.hpp
@@ -11,7 +11,7 @@
 
 namespace godwit::replay {
 
-/// Something that an engine did with a generation.
+/// An event of a generation on an engine.
 struct engine_event
 {
     enum class kind
@@ -19,7 +19,7 @@
         first_event,
         later_event,
         ended,
-        preempted, ///< Memory ended; its prompt is read again.
+        preempted, ///< Memory ran out; its prompt is prefilled again.
     };
 
     std::size_t generation = 0;
@@ -29,29 +29,30 @@
     friend bool operator==(const engine_event&, const engine_event&) = default;
 };
 
-/// An engine that works in steps: each gives one token to every generation
-/// whose prompt is read, and reads a chunk of the oldest prompt that is not.
+/// An engine that works in steps. Each step decodes one token of every
+/// generation whose prompt is prefilled, and prefills a chunk of the oldest
+/// prompt that is not.
 class simulated_engine
 {
 public:
     [[nodiscard]] static simulated_engine
-    create(const engine_config& shape, core::time_point now);
+    create(const engine_config& config, core::time_point now);
 
-    /// Whether it has a slot and memory for `tokens` now.
-    [[nodiscard]] bool has_room(std::uint64_t tokens) const;
+    /// Whether it has a free slot and memory for `tokens` now.
+    [[nodiscard]] bool has_capacity(std::uint64_t tokens) const;
 
     void start(
         std::size_t generation,
-        const generation_request& order,
+        const generation_request& request,
         core::time_point now);
 
-    /// Carries out the steps that end by `now`.
+    /// Runs the steps that end by `now`.
     [[nodiscard]] std::vector<engine_event> advance(core::time_point now);
 
     [[nodiscard]] std::uint64_t used_tokens() const;
 
-    /// Each step that begins from now on takes so many times as long.
-    void set_slowness(double times) { slowness_ = times; }
+    /// Makes each step that starts from now on take longer by `factor`.
+    void set_slowness(double factor) { slowness_ = factor; }
 
 private:
     struct run
@@ -68,21 +69,21 @@
         }
     };
 
-    simulated_engine(const engine_config& shape, core::time_point now)
-        : shape_(shape), step_begins_(now)
+    simulated_engine(const engine_config& config, core::time_point now)
+        : config_(config), step_start_(now)
     {}
 
-    [[nodiscard]] run* next_to_read();
-    [[nodiscard]] core::duration step_span();
-    void read_chunk();
-    void write_tokens(std::vector<engine_event>& events);
-    void take_back_preempted();
+    [[nodiscard]] run* next_to_prefill();
+    [[nodiscard]] core::duration step_duration();
+    void prefill_chunk();
+    void decode_tokens(std::vector<engine_event>& events);
+    void resume_preempted();
     void preempt_for_memory(std::vector<engine_event>& events);
 
-    engine_config shape_;
+    engine_config config_;
     std::vector<run> runs_;      ///< The oldest first.
-    std::vector<run> preempted_; ///< They wait for memory.
-    core::time_point step_begins_;
+    std::vector<run> preempted_; ///< Waiting for memory.
+    core::time_point step_start_;
     double slowness_ = 1.0;
 };
 
--- a/libraries/replay/src/fleet_replay.cpp
+++ b/libraries/replay/src/fleet_replay.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-// The finest span that the replay tells apart.
-constexpr core::duration step = std::chrono::milliseconds(1);
-// How often hosts look for room when nothing new has happened.
-constexpr core::duration tick = std::chrono::milliseconds(50);
-// How often hosts tell each other what changed but for new work.
-constexpr core::duration word_span = std::chrono::milliseconds(100);
+// Time resolution of the simulation.
+constexpr core::duration time_step = std::chrono::milliseconds(1);
+// How often waiting requests retry when nothing has changed.
+constexpr core::duration attempt_interval = std::chrono::milliseconds(50);
+// How often hosts report changes other than new work to each other.
+constexpr core::duration report_interval = std::chrono::milliseconds(100);
 
 core::zone_name zone_name_of(std::size_t zone)
 {
@@ -39,29 +39,29 @@
     return core::host_name("host-" + std::to_string(host));
 }
 
-/// What one host said, on its way to the others.
-struct host_word
+/// A load report of one host, in transit to the others.
+struct load_report
 {
     std::size_t host = 0;
-    core::time_point heard_at;
+    core::time_point received_at;
     std::vector<placement::server_work> work;
 };
 
-/// What a generation has written.
+/// The output of a generation so far.
 struct generation_progress
 {
     std::optional<core::time_point> last_event;
     std::uint64_t tokens = 0;
 };
 
-class running_replay
+class fleet_simulation
 {
 public:
-    running_replay(
+    fleet_simulation(
         const fleet_config& fleet,
-        const std::vector<generation_request>& orders)
-        : fleet_(fleet), orders_(orders), fates_(orders.size()),
-          progress_(orders.size())
+        const std::vector<generation_request>& requests)
+        : fleet_(fleet), requests_(requests), outcomes_(requests.size()),
+          progress_(requests.size())
     {
         service_.name = core::service_name("lm");
         service_.engine = routing::engine_profile{
@@ -75,26 +75,26 @@
                 fleet.seed * fleet.host_zones.size() + host));
     }
 
-    std::vector<generation_outcome> play(core::time_point end)
+    std::vector<generation_outcome> run(core::time_point end)
     {
-        for (core::time_point now{}; now < end; now += step) {
+        for (core::time_point now{}; now < end; now += time_step) {
             join_engines(now);
-            change_speeds(now);
+            apply_slowdowns(now);
             run_engines(now);
-            hear_words(now);
-            take_arrivals(now);
-            compare_paces(now);
-            look_for_room(now);
-            tell_words(now);
+            deliver_reports(now);
+            enqueue_arrivals(now);
+            detect_slow_servers(now);
+            place_waiting(now);
+            send_reports(now);
         }
-        return std::move(fates_);
+        return std::move(outcomes_);
     }
 
 private:
     void join_engines(core::time_point now)
     {
         while (engines_.size() < fleet_.engines.size() &&
-               fleet_.engines[engines_.size()].joins <= now) {
+               fleet_.engines[engines_.size()].join_time <= now) {
             const std::size_t engine = engines_.size();
             engines_.push_back(simulated_engine::create(fleet_.engine, now));
             const placement::backend_server server{
@@ -108,109 +108,110 @@
                 placement::server_state::ready,
                 1};
             for (const auto& host : hosts_)
-                host->server_joins(server, now);
-            is_anything_new_ = true;
+                host->add_server(server, now);
+            has_changes_ = true;
         }
     }
 
-    void change_speeds(core::time_point now)
+    void apply_slowdowns(core::time_point now)
     {
-        for (const slowdown& spell : fleet_.slowdowns) {
-            if (spell.begins == now)
-                engines_[spell.engine].set_slowness(spell.times);
-            if (spell.ends == now)
-                engines_[spell.engine].set_slowness(1.0);
+        for (const slowdown& each : fleet_.slowdowns) {
+            if (each.start == now)
+                engines_[each.engine].set_slowness(each.factor);
+            if (each.end == now)
+                engines_[each.engine].set_slowness(1.0);
         }
     }
 
-    void compare_paces(core::time_point now)
+    void detect_slow_servers(core::time_point now)
     {
-        if (now.time_since_epoch() % word_span != core::duration())
+        if (now.time_since_epoch() % report_interval != core::duration())
             return;
         for (const auto& host : hosts_)
-            host->compare_paces(now);
+            host->detect_slow_servers(now);
     }
 
     void run_engines(core::time_point now)
     {
         for (simulated_engine& engine : engines_) {
             for (const engine_event& event : engine.advance(now))
-                take(event);
+                handle(event);
         }
     }
 
-    void take(const engine_event& event)
+    void handle(const engine_event& event)
     {
-        generation_outcome& fate = fates_[event.generation];
-        simulated_host& host = *hosts_[orders_[event.generation].host];
+        generation_outcome& outcome = outcomes_[event.generation];
+        simulated_host& host = *hosts_[requests_[event.generation].host];
         switch (event.what) {
         case engine_event::kind::first_event:
-            fate.first_event = event.at;
-            note_event(event);
+            outcome.first_event = event.at;
+            record_event(event);
             break;
         case engine_event::kind::later_event:
-            note_event(event);
-            // Growth and pace wait for the next word.
-            grown_.push_back(orders_[event.generation].host);
+            record_event(event);
+            // Memory growth and event gaps are sent with the next report.
+            grown_.push_back(requests_[event.generation].host);
             return;
         case engine_event::kind::ended:
-            fate.ended = event.at;
-            host.ended(event.generation);
-            is_anything_new_ = true;
+            outcome.ended = event.at;
+            host.remove(event.generation);
+            has_changes_ = true;
             break;
         case engine_event::kind::preempted:
-            ++fate.preemptions;
+            ++outcome.preemptions;
             break;
         }
-        changed_.push_back(orders_[event.generation].host);
+        changed_.push_back(requests_[event.generation].host);
     }
 
-    void note_event(const engine_event& event)
+    void record_event(const engine_event& event)
     {
         generation_progress& progress = progress_[event.generation];
-        generation_outcome& fate = fates_[event.generation];
+        generation_outcome& outcome = outcomes_[event.generation];
         if (progress.last_event)
-            fate.longest_pause =
-                std::max(fate.longest_pause, event.at - *progress.last_event);
+            outcome.max_gap =
+                std::max(outcome.max_gap, event.at - *progress.last_event);
         progress.last_event = event.at;
         progress.tokens += fleet_.engine.tokens_per_event;
-        hosts_[orders_[event.generation].host]->wrote(
+        hosts_[requests_[event.generation].host]->record_progress(
             event.generation, progress.tokens, event.at);
     }
 
-    void hear_words(core::time_point now)
+    void deliver_reports(core::time_point now)
     {
-        for (; !words_.empty() && words_.front().heard_at <= now;
-             words_.pop_front()) {
+        for (; !reports_.empty() && reports_.front().received_at <= now;
+             reports_.pop_front()) {
             for (std::size_t host = 0; host < hosts_.size(); ++host) {
-                if (host != words_.front().host)
+                if (host != reports_.front().host)
                     hosts_[host]->update_from_neighbour(
-                        host_name_of(words_.front().host),
-                        words_.front().work,
+                        host_name_of(reports_.front().host),
+                        reports_.front().work,
                         now);
             }
         }
     }
 
-    void take_arrivals(core::time_point now)
+    void enqueue_arrivals(core::time_point now)
     {
-        for (; next_order_ < orders_.size() &&
-               orders_[next_order_].arrives <= now;
-             ++next_order_) {
-            const generation_request& order = orders_[next_order_];
-            hosts_[order.host]->arrives(next_order_, order, now);
-            is_anything_new_ = true;
+        for (; next_request_ < requests_.size() &&
+               requests_[next_request_].arrival_time <= now;
+             ++next_request_) {
+            const generation_request& request = requests_[next_request_];
+            hosts_[request.host]->enqueue(next_request_, request, now);
+            has_changes_ = true;
         }
     }
 
-    void look_for_room(core::time_point now)
+    void place_waiting(core::time_point now)
     {
-        const bool is_tick = now.time_since_epoch() % tick == core::duration();
-        if (!is_tick && !is_anything_new_)
+        const bool is_attempt_due =
+            now.time_since_epoch() % attempt_interval == core::duration();
+        if (!is_attempt_due && !has_changes_)
             return;
-        is_anything_new_ = false;
+        has_changes_ = false;
         for (std::size_t host = 0; host < hosts_.size(); ++host) {
-            hosts_[host]->look_for_room(
+            hosts_[host]->place_waiting(
                 now,
                 [this, host, now](
                     std::size_t generation,
@@ -218,8 +219,8 @@
                     std::uint64_t tokens) {
                     return send(host, generation, server, tokens, now);
                 });
-            for (const std::size_t over : hosts_[host]->turn_away(now))
-                fates_[over].turned_away = now;
+            for (const std::size_t expired : hosts_[host]->reject_expired(now))
+                outcomes_[expired].rejected = now;
         }
     }
 
@@ -233,20 +234,20 @@
         for (std::size_t engine = 0; engine < engines_.size(); ++engine) {
             if (server_id_of(engine) != server)
                 continue;
-            if (!engines_[engine].has_room(tokens))
+            if (!engines_[engine].has_capacity(tokens))
                 return false;
-            engines_[engine].start(generation, orders_[generation], now);
-            fates_[generation].placed = now;
-            fates_[generation].engine = engine;
+            engines_[engine].start(generation, requests_[generation], now);
+            outcomes_[generation].placed = now;
+            outcomes_[generation].engine = engine;
             changed_.push_back(host);
             return true;
         }
         return false;
     }
 
-    void tell_words(core::time_point now)
+    void send_reports(core::time_point now)
     {
-        if (now.time_since_epoch() % word_span == core::duration()) {
+        if (now.time_since_epoch() % report_interval == core::duration()) {
             changed_.insert(changed_.end(), grown_.begin(), grown_.end());
             grown_.clear();
         }
@@ -254,33 +255,33 @@
         changed_.erase(
             std::unique(changed_.begin(), changed_.end()), changed_.end());
         for (const std::size_t host : changed_)
-            words_.push_back(
+            reports_.push_back(
                 {host, now + fleet_.report_delay, hosts_[host]->own_work()});
         changed_.clear();
     }
 
     const fleet_config& fleet_;
-    const std::vector<generation_request>& orders_;
-    std::vector<generation_outcome> fates_;
+    const std::vector<generation_request>& requests_;
+    std::vector<generation_outcome> outcomes_;
     routing::service service_;
     std::vector<std::unique_ptr<simulated_host>> hosts_;
     std::vector<simulated_engine> engines_;
-    std::deque<host_word> words_;
+    std::deque<load_report> reports_;
     std::vector<generation_progress> progress_;
-    std::vector<std::size_t> changed_; ///< Hosts with news.
+    std::vector<std::size_t> changed_; ///< Hosts with changes to report.
     std::vector<std::size_t> grown_;   ///< Hosts whose runs grew.
-    std::size_t next_order_ = 0;
-    bool is_anything_new_ = false;
+    std::size_t next_request_ = 0;
+    bool has_changes_ = false;
 };
 
 } // namespace
 
 std::vector<generation_outcome> replay_fleet(
     const fleet_config& fleet,
-    const std::vector<generation_request>& orders,
+    const std::vector<generation_request>& requests,
     core::time_point end)
 {
-    return running_replay(fleet, orders).play(end);
+    return fleet_simulation(fleet, requests).run(end);
 }
 
 } // namespace godwit::replay
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -9,10 +9,12 @@
 namespace {
 
 admission::generation_size
-size_of(const generation_request& order, std::uint64_t written_tokens)
+size_of(const generation_request& request, std::uint64_t written_tokens)
 {
     return admission::generation_size::create(
-        {order.prompt_tokens, 4 * order.output_tokens, order.expected_tokens},
+        {request.prompt_tokens,
+         4 * request.output_tokens,
+         request.expected_output_tokens},
         written_tokens);
 }
 
@@ -21,23 +23,26 @@
 simulated_host::simulated_host(
     core::zone_name zone, const routing::service& service, std::uint64_t seed)
     : zone_(std::move(zone)), service_(service),
-      placer_(directory_, ledger_, health_, paces_, limits_, seed)
+      placer_(directory_, ledger_, health_, slow_servers_, limits_, seed)
 {}
 
-void simulated_host::server_joins(
+void simulated_host::add_server(
     const placement::backend_server& server, core::time_point now)
 {
     directory_.listed(server, now);
 }
 
-void simulated_host::arrives(
+void simulated_host::enqueue(
     std::size_t generation,
-    const generation_request& order,
+    const generation_request& request,
     core::time_point now)
 {
-    const auto plan = admission::wait_policy::create(
-        {now, now + order.patience, order.objective, order.priority});
-    waiting_.emplace(generation, waiting_generation{order, plan, now});
+    const auto policy = admission::wait_policy::create(
+        {now,
+         now + request.caller_timeout,
+         request.latency_objective,
+         request.priority});
+    waiting_.emplace(generation, waiting_generation{request, policy, now});
 }
 
 void simulated_host::replace_work(
@@ -48,28 +53,28 @@
     ledger_.add(running.server, running.work);
 }
 
-void simulated_host::wrote(
+void simulated_host::record_progress(
     std::size_t generation, std::uint64_t written_tokens, core::time_point now)
 {
     const auto found = running_.find(generation);
     if (found == running_.end())
         return;
     running_generation& running = found->second;
-    running.rhythm.record_events(1, now);
+    running.gap_tracker.record_events(1, now);
     placement::work_size work =
-        size_of(running.order, written_tokens).migrated_work();
-    work.gaps = running.rhythm.gaps();
+        size_of(running.request, written_tokens).migrated_work();
+    work.gaps = running.gap_tracker.gaps();
     replace_work(running, work);
 }
 
-void simulated_host::compare_paces(core::time_point now)
+void simulated_host::detect_slow_servers(core::time_point now)
 {
-    const auto seen =
+    const auto observed =
         placement::observed_gaps(directory_, ledger_, service_.name, now);
-    [[maybe_unused]] const auto changes = paces_.compare(seen, now);
+    [[maybe_unused]] const auto changes = slow_servers_.compare(observed, now);
 }
 
-void simulated_host::ended(std::size_t generation)
+void simulated_host::remove(std::size_t generation)
 {
     const auto found = running_.find(generation);
     if (found == running_.end())
@@ -80,20 +85,20 @@
 
 void simulated_host::update_from_neighbour(
     const core::host_name& host,
-    const std::vector<placement::server_work>& word,
+    const std::vector<placement::server_work>& report,
     core::time_point now)
 {
-    ledger_.update_from_neighbour(host, word, now);
+    ledger_.update_from_neighbour(host, report, now);
 }
 
 std::vector<std::pair<int, std::size_t>>
-simulated_host::line(core::time_point now) const
+simulated_host::wait_order(core::time_point now) const
 {
     std::vector<std::pair<int, std::size_t>> ordered;
     ordered.reserve(waiting_.size());
     for (const auto& [generation, waiting] : waiting_)
         ordered.emplace_back(
-            waiting.plan.rank(waiting.plan.stage(now)), generation);
+            waiting.policy.rank(waiting.policy.stage(now)), generation);
     std::sort(ordered.begin(), ordered.end());
     return ordered;
 }
@@ -104,29 +109,31 @@
     core::time_point now,
     const send_function& send)
 {
-    const auto stage = waiting.plan.stage(now);
-    waiting.next_attempt = waiting.plan.next_attempt(stage, now);
-    placement::placement_request wanted = admission::make_placement_request(
-        service_, size_of(waiting.order, 0), waiting.plan, stage);
-    wanted.preferred_zone = zone_;
-    const auto choice = placer_.choose(wanted, now);
+    const auto stage = waiting.policy.stage(now);
+    waiting.next_attempt = waiting.policy.next_attempt(stage, now);
+    placement::placement_request placement_wanted =
+        admission::make_placement_request(
+            service_, size_of(waiting.request, 0), waiting.policy, stage);
+    placement_wanted.preferred_zone = zone_;
+    const auto choice = placer_.choose(placement_wanted, now);
     if (!choice)
         return false;
-    if (!send(generation, choice->server.id, wanted.work.tokens)) {
+    if (!send(generation, choice->server.id, placement_wanted.work.tokens)) {
         health_.record_full(choice->server.id, now);
         return false;
     }
-    ledger_.add(choice->server.id, wanted.work);
+    ledger_.add(choice->server.id, placement_wanted.work);
     running_.emplace(
         generation,
-        running_generation{waiting.order, choice->server.id, wanted.work, {}});
+        running_generation{
+            waiting.request, choice->server.id, placement_wanted.work, {}});
     return true;
 }
 
-void simulated_host::look_for_room(
+void simulated_host::place_waiting(
     core::time_point now, const send_function& send)
 {
-    for (const auto& [rank, generation] : line(now)) {
+    for (const auto& [rank, generation] : wait_order(now)) {
         const auto found = waiting_.find(generation);
         if (found->second.next_attempt > now)
             continue;
@@ -136,16 +143,16 @@
     }
 }
 
-std::vector<std::size_t> simulated_host::turn_away(core::time_point now)
+std::vector<std::size_t> simulated_host::reject_expired(core::time_point now)
 {
-    std::vector<std::size_t> over;
+    std::vector<std::size_t> expired;
     for (const auto& [generation, waiting] : waiting_) {
-        if (waiting.plan.stage(now) == admission::wait_stage::over)
-            over.push_back(generation);
+        if (waiting.policy.stage(now) == admission::wait_stage::over)
+            expired.push_back(generation);
     }
-    for (const std::size_t generation : over)
+    for (const std::size_t generation : expired)
         waiting_.erase(generation);
-    return over;
+    return expired;
 }
 
 } // namespace godwit::replay
--- a/libraries/replay/src/simulated_host.hpp
+++ b/libraries/replay/src/simulated_host.hpp
@@ -22,12 +22,12 @@
 
 namespace godwit::replay {
 
-/// An entry host without its sockets: a line of requests that wait, what it
-/// believes of the engines, and the decisions of the real libraries.
+/// An entry host without network connections: its queue of waiting requests,
+/// its view of the engines, and the decisions of the real libraries.
 class simulated_host
 {
 public:
-    /// Sends the generation to the server; false if it keeps no room.
+    /// Sends the generation to the server; false if it has no capacity.
     using send_function = std::function<bool(
         std::size_t generation,
         const placement::server_id& server,
@@ -42,35 +42,35 @@
     simulated_host& operator=(const simulated_host&) = delete;
 
     void
-    server_joins(const placement::backend_server& server, core::time_point now);
+    add_server(const placement::backend_server& server, core::time_point now);
 
-    void arrives(
+    void enqueue(
         std::size_t generation,
-        const generation_request& order,
+        const generation_request& request,
         core::time_point now);
 
-    /// The prompt is read, or the generation wrote one event more: its
-    /// tokens so far.
-    void wrote(
+    /// Records an event after the prompt is prefilled, with the number of
+    /// tokens written so far.
+    void record_progress(
         std::size_t generation,
         std::uint64_t written_tokens,
         core::time_point now);
 
-    void ended(std::size_t generation);
+    void remove(std::size_t generation);
 
     void update_from_neighbour(
         const core::host_name& host,
-        const std::vector<placement::server_work>& word,
+        const std::vector<placement::server_work>& report,
         core::time_point now);
 
-    /// Lets those who wait look for room, the first in the line first.
-    void look_for_room(core::time_point now, const send_function& send);
+    /// Tries to place waiting requests, in the order of the queue.
+    void place_waiting(core::time_point now, const send_function& send);
 
-    /// Generations whose waiting is over; they leave the line.
-    [[nodiscard]] std::vector<std::size_t> turn_away(core::time_point now);
+    /// Removes requests that waited too long from the queue and returns them.
+    [[nodiscard]] std::vector<std::size_t> reject_expired(core::time_point now);
 
-    /// Compares the paces of the engines.
-    void compare_paces(core::time_point now);
+    /// Compares the speed of the engines.
+    void detect_slow_servers(core::time_point now);
 
     [[nodiscard]] std::vector<placement::server_work> own_work() const
     {
@@ -80,21 +80,21 @@
 private:
     struct waiting_generation
     {
-        generation_request order;
-        admission::wait_policy plan;
+        generation_request request;
+        admission::wait_policy policy;
         core::time_point next_attempt;
     };
 
     struct running_generation
     {
-        generation_request order;
+        generation_request request;
         placement::server_id server;
         placement::work_size work;
-        placement::event_gap_tracker rhythm;
+        placement::event_gap_tracker gap_tracker;
     };
 
     [[nodiscard]] std::vector<std::pair<int, std::size_t>>
-    line(core::time_point now) const;
+    wait_order(core::time_point now) const;
     [[nodiscard]] bool try_to_place(
         std::size_t generation,
         waiting_generation& waiting,
@@ -107,7 +107,7 @@
     placement::server_directory directory_;
     placement::load_ledger ledger_;
     placement::server_health health_;
-    placement::slow_server_detector paces_;
+    placement::slow_server_detector slow_servers_;
     placement::server_limits limits_;
     placement::placer placer_;
     std::map<std::size_t, waiting_generation> waiting_;
--- a/tests/replay/load_replay_test.cpp
+++ b/tests/replay/load_replay_test.cpp
@@ -21,8 +21,8 @@
 
 constexpr core::duration objective = std::chrono::milliseconds(1800);
 
-// Long text: 3,000 tokens in, some 900 out.
-generation_request long_order(std::size_t host, int arrives_ms)
+// A long generation: 3,000 prompt tokens, 900 output tokens.
+generation_request long_request(std::size_t host, int arrives_ms)
 {
     return {
         host,
@@ -45,15 +45,16 @@
     return fleet;
 }
 
-std::size_t begun_late(
-    const std::vector<generation_request>& orders,
-    const std::vector<generation_outcome>& fates)
+std::size_t count_late(
+    const std::vector<generation_request>& requests,
+    const std::vector<generation_outcome>& outcomes)
 {
     std::size_t late = 0;
-    for (std::size_t each = 0; each < orders.size(); ++each) {
+    for (std::size_t each = 0; each < requests.size(); ++each) {
         const bool is_in_time =
-            fates[each].first_event &&
-            *fates[each].first_event - orders[each].arrives <= objective;
+            outcomes[each].first_event &&
+            *outcomes[each].first_event - requests[each].arrival_time <=
+                objective;
         late += is_in_time ? 0 : 1;
     }
     return late;
@@ -62,72 +63,77 @@
 class load_replay_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(load_replay_test);
-    CPPUNIT_TEST(test_a_calm_load_is_served_in_time);
-    CPPUNIT_TEST(test_a_replay_repeats);
-    CPPUNIT_TEST(test_hosts_do_not_rush_onto_an_engine_that_joins);
-    CPPUNIT_TEST(test_streams_keep_off_engines_that_turn_slow);
-    CPPUNIT_TEST(test_engines_that_are_quick_again_are_used_again);
+    CPPUNIT_TEST(test_light_load_is_served_in_time);
+    CPPUNIT_TEST(test_a_replay_is_deterministic);
+    CPPUNIT_TEST(test_hosts_do_not_overload_a_joining_engine);
+    CPPUNIT_TEST(test_streams_avoid_engines_that_become_slow);
+    CPPUNIT_TEST(test_recovered_engines_are_used_again);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::vector<generation_request> steady_load(double a_second)
+    static std::vector<generation_request> steady_load(double per_second)
     {
-        std::vector<generation_request> orders;
+        std::vector<generation_request> requests;
         core::random random(7);
-        for (double at = 0; at < 20000; at += 2000.0 * random.unit() / a_second)
-            orders.push_back(long_order(random.below(9), static_cast<int>(at)));
-        return orders;
+        for (double at = 0; at < 20000;
+             at += 2000.0 * random.unit() / per_second)
+            requests.push_back(
+                long_request(random.below(9), static_cast<int>(at)));
+        return requests;
     }
 
-    void test_a_calm_load_is_served_in_time()
+    void test_light_load_is_served_in_time()
     {
-        const auto orders = steady_load(5.0);
-        const auto fates = replay_fleet(nine_hosts(14), orders, at_ms(45000));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, begun_late(orders, fates));
-        for (const generation_outcome& fate : fates)
-            CPPUNIT_ASSERT(fate.ended && fate.preemptions == 0);
+        const auto requests = steady_load(5.0);
+        const auto outcomes =
+            replay_fleet(nine_hosts(14), requests, at_ms(45000));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count_late(requests, outcomes));
+        for (const generation_outcome& outcome : outcomes)
+            CPPUNIT_ASSERT(outcome.ended && outcome.preemptions == 0);
     }
 
-    void test_a_replay_repeats()
+    void test_a_replay_is_deterministic()
     {
-        const auto orders = steady_load(12.0);
+        const auto requests = steady_load(12.0);
         CPPUNIT_ASSERT(
-            replay_fleet(nine_hosts(9), orders, at_ms(20000)) ==
-            replay_fleet(nine_hosts(9), orders, at_ms(20000)));
+            replay_fleet(nine_hosts(9), requests, at_ms(20000)) ==
+            replay_fleet(nine_hosts(9), requests, at_ms(20000)));
     }
 
-    // Engines are full and every host has requests that wait; then an empty
-    // one joins, of which all hosts hear at the same moment.
-    void test_hosts_do_not_rush_onto_an_engine_that_joins()
+    // All engines are full and every host has waiting requests when an empty
+    // engine joins, which all hosts learn at the same time.
+    void test_hosts_do_not_overload_a_joining_engine()
     {
         fleet_config fleet = nine_hosts(3);
         fleet.engines.push_back({0, at_ms(3000)});
-        std::vector<generation_request> orders;
-        orders.reserve(27 + 18);
+        std::vector<generation_request> requests;
+        requests.reserve(27 + 18);
         for (int each = 0; each < 27; ++each)
-            orders.push_back(
-                long_order(static_cast<std::size_t>(each % 9), 50 * each));
-        const std::size_t filling = orders.size();
+            requests.push_back(
+                long_request(static_cast<std::size_t>(each % 9), 50 * each));
+        const std::size_t filling = requests.size();
         for (int each = 0; each < 18; ++each)
-            orders.push_back(long_order(
+            requests.push_back(long_request(
                 static_cast<std::size_t>(each % 9), 2700 + 10 * each));
-        const auto fates = replay_fleet(fleet, orders, at_ms(6000));
-        std::vector<core::duration> reading;
-        for (std::size_t each = filling; each < orders.size(); ++each) {
-            if (!fates[each].placed || !fates[each].first_event)
+        const auto outcomes = replay_fleet(fleet, requests, at_ms(6000));
+        std::vector<core::duration> prefill_times;
+        for (std::size_t each = filling; each < requests.size(); ++each) {
+            if (!outcomes[each].placed || !outcomes[each].first_event)
                 continue;
-            reading.push_back(*fates[each].first_event - *fates[each].placed);
+            prefill_times.push_back(
+                *outcomes[each].first_event - *outcomes[each].placed);
         }
-        CPPUNIT_ASSERT(reading.size() >= 3);
+        CPPUNIT_ASSERT(prefill_times.size() >= 3);
         CPPUNIT_ASSERT(
-            *std::max_element(reading.begin(), reading.end()) <= objective);
+            *std::max_element(prefill_times.begin(), prefill_times.end()) <=
+            objective);
     }
 
-    // A quarter of a fleet of 288 hosts and 128 engines, under its usual load
-    // of long and short generations. A fifth of the engines take 3.5 times as
-    // long for each step between 6 s and 14 s.
+    // A quarter of a fleet of 288 hosts and 128 engines, with a typical load of
+    // long and short generations. A fifth of the engines take 3.5 times as long
+    // for each step between 6 s and 14 s.
     static constexpr std::size_t many_hosts = 72;
     static constexpr std::size_t many_engines = 32;
-    static constexpr core::duration longest_gap =
+    static constexpr core::duration max_allowed_gap =
         std::chrono::milliseconds(190);
 
     static std::vector<std::size_t> slow_engines()
@@ -147,82 +153,84 @@
         return fleet;
     }
 
-    static generation_request mixed_order(core::random& random, int arrives_ms)
+    static generation_request
+    mixed_request(core::random& random, int arrives_ms)
     {
         constexpr double short_share = 0.41;
-        generation_request order =
-            long_order(random.below(many_hosts), arrives_ms);
-        order.prompt_tokens =
+        generation_request request =
+            long_request(random.below(many_hosts), arrives_ms);
+        request.prompt_tokens =
             static_cast<std::uint32_t>(2000 + random.below(2000));
-        order.output_tokens =
+        request.output_tokens =
             static_cast<std::uint32_t>(120 + random.below(700));
         if (random.unit() < short_share)
-            order.output_tokens = 8;
-        order.expected_tokens = order.output_tokens;
-        return order;
+            request.output_tokens = 8;
+        request.expected_output_tokens = request.output_tokens;
+        return request;
     }
 
     static std::vector<generation_request> mixed_load(std::uint64_t seed)
     {
         constexpr double mean_pause_ms = 24.0;
-        std::vector<generation_request> orders;
+        std::vector<generation_request> requests;
         core::random random(seed);
         for (double at = 0; at < 20000; at += 2 * mean_pause_ms * random.unit())
-            orders.push_back(mixed_order(random, static_cast<int>(at)));
-        return orders;
+            requests.push_back(mixed_request(random, static_cast<int>(at)));
+        return requests;
     }
 
-    static bool
-    is_placed_between(const generation_outcome& fate, int from_ms, int until_ms)
+    static bool is_placed_between(
+        const generation_outcome& outcome, int from_ms, int until_ms)
     {
-        return fate.placed && *fate.placed >= at_ms(from_ms) &&
-               *fate.placed < at_ms(until_ms);
+        return outcome.placed && *outcome.placed >= at_ms(from_ms) &&
+               *outcome.placed < at_ms(until_ms);
     }
 
-    static bool is_at_slow_engine(const generation_outcome& fate)
+    static bool is_at_slow_engine(const generation_outcome& outcome)
     {
         const auto slow = slow_engines();
-        return std::find(slow.begin(), slow.end(), *fate.engine) != slow.end();
+        return std::find(slow.begin(), slow.end(), *outcome.engine) !=
+               slow.end();
     }
 
-    /// Of the generations that are placed in a span, over several loads.
+    /// Counts of generations that are placed in a period, over several loads.
     struct placed_count
     {
         std::size_t all = 0;
         std::size_t at_slow_engines = 0;
-        std::size_t with_late_pause = 0;
+        std::size_t with_long_gap = 0;
     };
 
     static placed_count count_placed_between(int from_ms, int until_ms)
     {
         placed_count count;
         for (const std::uint64_t seed : {5, 6, 7}) {
-            const auto fates =
+            const auto outcomes =
                 replay_fleet(large_fleet(), mixed_load(seed), at_ms(40000));
-            for (const generation_outcome& fate : fates) {
-                if (!is_placed_between(fate, from_ms, until_ms))
+            for (const generation_outcome& outcome : outcomes) {
+                if (!is_placed_between(outcome, from_ms, until_ms))
                     continue;
                 ++count.all;
-                count.at_slow_engines += is_at_slow_engine(fate) ? 1 : 0;
-                count.with_late_pause +=
-                    fate.longest_pause > longest_gap ? 1 : 0;
+                count.at_slow_engines += is_at_slow_engine(outcome) ? 1 : 0;
+                count.with_long_gap +=
+                    outcome.max_gap > max_allowed_gap ? 1 : 0;
             }
         }
         return count;
     }
 
-    // Half a second after the first late events hosts know. An engine that is
-    // tried again while it is still slow may hold up one prompt.
-    void test_streams_keep_off_engines_that_turn_slow()
+    // Hosts detect slow engines half a second after the first late events. An
+    // engine that is tried again while it is still slow may delay one prompt.
+    void test_streams_avoid_engines_that_become_slow()
     {
         const placed_count placed = count_placed_between(6600, 14000);
         CPPUNIT_ASSERT(placed.all > 900);
         CPPUNIT_ASSERT(placed.at_slow_engines * 50 < placed.all);
-        CPPUNIT_ASSERT(placed.with_late_pause * 100 < placed.all);
+        CPPUNIT_ASSERT(placed.with_long_gap * 100 < placed.all);
     }
 
-    // They are the emptiest ones by then.
-    void test_engines_that_are_quick_again_are_used_again()
+    // Recovered engines are the least loaded ones by then.
+    void test_recovered_engines_are_used_again()
     {
         const placed_count placed = count_placed_between(16000, 19000);
         CPPUNIT_ASSERT(placed.all > 300);
