--- a/libraries/admission/src/wait_policy.cpp
+++ b/libraries/admission/src/wait_policy.cpp
@@ -31,9 +31,9 @@
 // Shortest time to retry after, for a stream that is rejected at once.
 constexpr core::duration min_retry_after = std::chrono::milliseconds(700);
 
-core::duration share_of(core::duration span, double share)
+core::duration fraction_of(core::duration time, double share)
 {
-    return std::chrono::duration_cast<core::duration>(span * share);
+    return std::chrono::duration_cast<core::duration>(time * share);
 }
 
 } // namespace
@@ -69,12 +69,12 @@
 {
     const core::time_point timely_end =
         parameters_.arrival_time +
-        share_of(parameters_.objective, timely_wait_share);
+        fraction_of(parameters_.objective, timely_wait_share);
     if (stage == wait_stage::timely)
         return timely_end;
     const core::duration max_wait = std::min(
-        share_of(parameters_.objective, max_wait_objectives),
-        share_of(
+        fraction_of(parameters_.objective, max_wait_objectives),
+        fraction_of(
             parameters_.deadline - parameters_.arrival_time, max_wait_share));
     return parameters_.arrival_time + max_wait;
 }
--- a/libraries/placement/bench/main.cpp
+++ b/libraries/placement/bench/main.cpp
@@ -124,15 +124,15 @@
 
 int main(int argument_count, char** arguments)
 {
-    const std::string_view wanted = argument_count > 1 ? arguments[1] : "";
-    if (wanted == "--version") {
+    const std::string_view option = argument_count > 1 ? arguments[1] : "";
+    if (option == "--version") {
         std::cout << "godwit-placement-bench " << GODWIT_VERSION << '\n';
         return 0;
     }
-    if (!wanted.empty()) {
+    if (!option.empty()) {
         std::cout << "usage: godwit-placement-bench [--help | --version]\n"
                      "Measures choosing a server and applying a load report.\n";
-        return wanted == "--help" ? 0 : 2;
+        return option == "--help" ? 0 : 2;
     }
     for (const std::size_t engines :
          {std::size_t{14}, std::size_t{128}, std::size_t{690}})
--- a/libraries/placement/include/godwit/placement/copy_queue.hpp
+++ b/libraries/placement/include/godwit/placement/copy_queue.hpp
@@ -25,8 +25,8 @@
 {
 public:
     /// Concurrent copies of one host from one server. A copy waits for earlier
-    /// ones on the same link, and a run that is suspended for its last copy
-    /// must not wait long.
+    /// ones on the same link, and a run that is suspended in the stop-and-copy
+    /// phase must not wait long.
     static constexpr std::size_t max_concurrent_copies = 1;
 
     using ticket = std::uint64_t;
--- a/libraries/placement/include/godwit/placement/event_gap_tracker.hpp
+++ b/libraries/placement/include/godwit/placement/event_gap_tracker.hpp
@@ -17,7 +17,7 @@
 {
 public:
     /// The weight of the newest gap. After two events an engine that decodes
-    /// 3.5 times slower is told apart from one that prefills a prompt.
+    /// 3.5 times slower is distinguishable from one that prefills a prompt.
     static constexpr double smoothing_factor = 0.4;
     /// Longer gaps count as this: the stream was preempted or stalled.
     static constexpr core::duration max_gap = std::chrono::seconds(2);
--- a/libraries/placement/include/godwit/placement/server_directory.hpp
+++ b/libraries/placement/include/godwit/placement/server_directory.hpp
@@ -50,7 +50,7 @@
 
     /// Applies a record of the server. Records that are older than the known
     /// one, or of a former incarnation, are ignored. Another server of the
-    /// service with the same address is marked as draining, since it is gone.
+    /// service with the same address has ended and is marked as draining.
     directory_change listed(const backend_server& server, core::time_point now);
 
     /// Notes that the source still lists the server: its record did not expire,
--- a/libraries/placement/include/godwit/placement/slow_server_detector.hpp
+++ b/libraries/placement/include/godwit/placement/slow_server_detector.hpp
@@ -41,8 +41,8 @@
     /// The factor by which it decodes slower than the median; 1 unless it is
     /// slow.
     double slowness = 1.0;
-    /// When it went on probation: it was slow, and there were no streams since
-    /// that would show whether it still is.
+    /// When its probation started: it was slow, and no streams have shown since
+    /// whether it still is.
     std::optional<core::time_point> probation_since;
 
     friend bool operator==(const server_speed&, const server_speed&) = default;
--- a/libraries/placement/src/event_gap_tracker.cpp
+++ b/libraries/placement/src/event_gap_tracker.cpp
@@ -14,9 +14,9 @@
     last_event_at_ = now;
     if (!before)
         return;
-    const core::duration span = std::min(now - *before, max_gap);
+    const core::duration gap = std::min(now - *before, max_gap);
     const double gap_ms =
-        std::chrono::duration<double, std::milli>(span).count() /
+        std::chrono::duration<double, std::milli>(gap).count() /
         static_cast<double>(events);
     gap_ms_ =
         gap_ms_ ? *gap_ms_ + smoothing_factor * (gap_ms - *gap_ms_) : gap_ms;
--- a/libraries/placement/src/load_ledger.cpp
+++ b/libraries/placement/src/load_ledger.cpp
@@ -74,8 +74,8 @@
     uncount(known);
     known.received_at = now;
     known.work.clear();
-    for (const server_work& one : report)
-        known.work[one.server] += one.work;
+    for (const server_work& each : report)
+        known.work[each.server] += each.work;
     count(known);
 }
 
@@ -106,16 +106,16 @@
     }
     known.received_at = now;
     count(known);
-    for (const server_work& one : report) {
-        const auto previous = known.work.find(one.server);
+    for (const server_work& each : report) {
+        const auto previous = known.work.find(each.server);
         if (previous != known.work.end()) {
-            subtract(others_total_, one.server, previous->second);
+            subtract(others_total_, each.server, previous->second);
             known.work.erase(previous);
         }
-        if (one.work == work_size())
+        if (each.work == work_size())
             continue;
-        others_total_[one.server] += one.work;
-        known.work.emplace(one.server, one.work);
+        others_total_[each.server] += each.work;
+        known.work.emplace(each.server, each.work);
     }
 }
 
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -31,7 +31,7 @@
 // (15 simulated days with faults).
 constexpr double unread_tokens_weight = 14000.0;
 // Another zone adds a hop to each event, traffic between zones is charged for,
-// and a stream stalls while its engine's zone is partitioned.
+// and a stream stalls while a partition separates it from its engine's zone.
 constexpr double other_zone_cost = 0.35;
 // Cost of each second until a migration's copy is complete, including the
 // copies before it. Draining servers leave about two seconds, so that a second
@@ -76,10 +76,9 @@
     const double rate = bits_per_mbit * engine.link_mbit_per_second;
     if (rate <= 0)
         return 0;
-    const double host_random = static_cast<double>(work.tokens) *
-                               (is_other_zone ? other_zone_copy_factor : 1.0);
-    return (static_cast<double>(load.arriving_tokens) + host_random) * bits /
-           rate;
+    const double own = static_cast<double>(work.tokens) *
+                       (is_other_zone ? other_zone_copy_factor : 1.0);
+    return (static_cast<double>(load.arriving_tokens) + own) * bits / rate;
 }
 
 } // namespace
@@ -135,7 +134,7 @@
     const auto capacity = static_cast<std::uint64_t>(
         memory_share(request.purpose) *
         static_cast<double>(engine.memory_tokens));
-    // Its copy would delay copies that are urgent.
+    // The copy of a rebalanced run would delay more urgent copies.
     if (request.purpose == placement_purpose::rebalance &&
         load.arriving_tokens > 0)
         return false;
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -129,19 +129,19 @@
 
 std::vector<server_id> server_directory::expire(core::time_point now)
 {
-    std::vector<server_id> gone;
+    std::vector<server_id> departed;
     for (auto at = servers_.begin(); at != servers_.end();) {
         entry& known = at->second;
         if (known.missing_since && now - *known.missing_since >= expiry_grace) {
             mark_draining(known, now);
-            gone.push_back(at->first);
+            departed.push_back(at->first);
         }
         if (known.left_at && now - *known.left_at >= departed_retention)
             at = servers_.erase(at);
         else
             ++at;
     }
-    return gone;
+    return departed;
 }
 
 const backend_server* server_directory::find(const server_id& id) const
--- a/libraries/placement/src/server_limits.cpp
+++ b/libraries/placement/src/server_limits.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-double seconds(core::duration span)
+double seconds(core::duration time)
 {
-    return std::chrono::duration<double>(span).count();
+    return std::chrono::duration<double>(time).count();
 }
 
 } // namespace
--- a/libraries/replay/include/godwit/replay/engine_config.hpp
+++ b/libraries/replay/include/godwit/replay/engine_config.hpp
@@ -23,7 +23,7 @@
     operator==(const engine_config&, const engine_config&) = default;
 };
 
-/// A period in which each step of an engine takes longer by a factor.
+/// A period in which each step of an engine takes `factor` times as long.
 struct slowdown
 {
     std::size_t engine = 0;
--- a/libraries/replay/include/godwit/replay/simulated_engine.hpp
+++ b/libraries/replay/include/godwit/replay/simulated_engine.hpp
@@ -51,7 +51,7 @@
 
     [[nodiscard]] std::uint64_t used_tokens() const;
 
-    /// Makes each step that starts from now on take longer by `factor`.
+    /// Makes each step that starts from now on take `factor` times as long.
     void set_slowness(double factor) { slowness_ = factor; }
 
 private:
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -111,22 +111,21 @@
 {
     const auto stage = waiting.policy.stage(now);
     waiting.next_attempt = waiting.policy.next_attempt(stage, now);
-    placement::placement_request placement_wanted =
-        admission::make_placement_request(
-            service_, size_of(waiting.request, 0), waiting.policy, stage);
-    placement_wanted.preferred_zone = zone_;
-    const auto choice = placer_.choose(placement_wanted, now);
+    placement::placement_request request = admission::make_placement_request(
+        service_, size_of(waiting.request, 0), waiting.policy, stage);
+    request.preferred_zone = zone_;
+    const auto choice = placer_.choose(request, now);
     if (!choice)
         return false;
-    if (!send(generation, choice->server.id, placement_wanted.work.tokens)) {
+    if (!send(generation, choice->server.id, request.work.tokens)) {
         health_.record_full(choice->server.id, now);
         return false;
     }
-    ledger_.add(choice->server.id, placement_wanted.work);
+    ledger_.add(choice->server.id, request.work);
     running_.emplace(
         generation,
         running_generation{
-            waiting.request, choice->server.id, placement_wanted.work, {}});
+            waiting.request, choice->server.id, request.work, {}});
     return true;
 }
 
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -467,7 +467,7 @@
             slow_servers_.compare(observed, at_ms(now_ms));
     }
 
-    void leave_only_the_first() { request_.excluded = {server_id("i-2")}; }
+    void exclude_the_second() { request_.excluded = {server_id("i-2")}; }
 
     void test_a_slow_server_is_chosen_last()
     {
@@ -475,14 +475,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose());
         make_the_first_slow(0);
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose());
-        // What has nowhere else to go goes there.
+        // A request without an alternative is placed there.
         ledger_.add(server_id("i-2"), {1, 1500, 0});
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), choose());
     }
 
     void test_a_slow_server_prefills_one_prompt_at_a_time()
     {
-        leave_only_the_first();
+        exclude_the_second();
         make_the_first_slow(0);
         request_.work = {1, 1000, 1000};
         request_.max_unread_tokens = 4000;
@@ -493,7 +493,7 @@
 
     void test_a_slow_server_gets_no_prompt_that_would_be_late()
     {
-        leave_only_the_first();
+        exclude_the_second();
         make_the_first_slow(0);
         request_.work = {1, 1000, 1000};
         request_.max_unread_tokens = 3000;
@@ -504,7 +504,7 @@
 
     void test_a_slow_server_takes_runs_without_prefill()
     {
-        leave_only_the_first();
+        exclude_the_second();
         make_the_first_slow(0);
         ledger_.add(server_id("i-1"), {1, 500, 500});
         request_.purpose = placement_purpose::migration;
