--- a/tests/placement/copy_queue_test.cpp
+++ b/tests/placement/copy_queue_test.cpp
@@ -22,16 +22,16 @@
 
     void test_the_highest_priority_is_copied_first()
     {
-        const auto ending = queue_.enqueue(first_, 0.01);
-        const auto begun = queue_.enqueue(first_, 0.30);
-        const auto half = queue_.enqueue(first_, 0.10);
-        CPPUNIT_ASSERT(!queue_.try_start(first_, ending));
-        CPPUNIT_ASSERT(!queue_.try_start(first_, half));
-        CPPUNIT_ASSERT(queue_.try_start(first_, begun));
-        CPPUNIT_ASSERT(!queue_.try_start(first_, half));
-        queue_.end(first_, begun);
-        CPPUNIT_ASSERT(!queue_.try_start(first_, ending));
-        CPPUNIT_ASSERT(queue_.try_start(first_, half));
+        const auto nearly_done = queue_.enqueue(first_, 0.01);
+        const auto just_started = queue_.enqueue(first_, 0.30);
+        const auto half_done = queue_.enqueue(first_, 0.10);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, nearly_done));
+        CPPUNIT_ASSERT(!queue_.try_start(first_, half_done));
+        CPPUNIT_ASSERT(queue_.try_start(first_, just_started));
+        CPPUNIT_ASSERT(!queue_.try_start(first_, half_done));
+        queue_.end(first_, just_started);
+        CPPUNIT_ASSERT(!queue_.try_start(first_, nearly_done));
+        CPPUNIT_ASSERT(queue_.try_start(first_, half_done));
     }
 
     void test_equal_priorities_are_copied_in_order()
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -28,7 +28,7 @@
     CPPUNIT_TEST(test_neighbour_reports_count_until_they_expire);
     CPPUNIT_TEST(test_unread_tokens_count_as_load);
     CPPUNIT_TEST(test_full_servers_are_not_chosen);
-    CPPUNIT_TEST(test_migrations_may_use_memory_reserved_from_starts);
+    CPPUNIT_TEST(test_migrations_may_use_the_memory_reserve);
     CPPUNIT_TEST(test_a_request_above_the_memory_share_gets_an_empty_server);
     CPPUNIT_TEST(test_excluded_and_draining_servers_are_not_chosen);
     CPPUNIT_TEST(test_avoided_servers_are_chosen_last);
@@ -39,7 +39,7 @@
     CPPUNIT_TEST(test_group_reports_count_until_they_expire);
     CPPUNIT_TEST(test_hosts_covered_by_a_group_report_count_once);
     CPPUNIT_TEST(test_changes_leave_other_servers_unchanged);
-    CPPUNIT_TEST(test_short_starts_use_memory_reserved_from_long_ones);
+    CPPUNIT_TEST(test_short_starts_may_use_the_memory_reserve);
     CPPUNIT_TEST(test_late_starts_use_spare_memory_only);
     CPPUNIT_TEST(test_servers_with_too_many_unread_tokens_are_not_chosen);
     CPPUNIT_TEST(test_an_engine_that_reports_full_is_skipped);
@@ -123,7 +123,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("no room"), choose());
     }
 
-    void test_migrations_may_use_memory_reserved_from_starts()
+    void test_migrations_may_use_the_memory_reserve()
     {
         ledger_.add(server_id("i-1"), {1, 8900, 0});
         ledger_.add(server_id("i-2"), {1, 8900, 0});
@@ -258,7 +258,7 @@
     }
 
     // Otherwise short requests wait for the long ones of all other hosts.
-    void test_short_starts_use_memory_reserved_from_long_ones()
+    void test_short_starts_may_use_the_memory_reserve()
     {
         ledger_.add(server_id("i-1"), {1, 8700, 0});
         ledger_.add(server_id("i-2"), {1, 9100, 0});
