--- a/tests/placement/load_ledger_test.cpp
+++ b/tests/placement/load_ledger_test.cpp
@@ -79,7 +79,7 @@
             if (random.below(3) != 0)
                 continue;
             work_size work;
-            // No work means that it has ended.
+            // Empty work stands for work that has ended.
             if (random.below(4) != 0)
                 work = work_size{
                     1,
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -413,7 +413,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose());
     }
 
-    // A token has a megabyte here, and the link copies 2,000 tokens a second.
+    // A token takes a megabyte here, and the link copies 2,000 a second.
     void use_slow_links()
     {
         service_.engine->token_bytes = 1'000'000;
