--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Counts of one life say nothing of another one, so lives come first.
+// Revisions are only comparable within one incarnation, so that the start is
+// compared first.
 std::strong_ordering
 compare_age(const backend_server& left, const backend_server& right)
 {
@@ -15,28 +16,30 @@
            std::tie(right.start, right.revision);
 }
 
-// A start that was not known before is no proof of a second life.
-bool is_new_life(const backend_server& known, const backend_server& server)
+// A start that was unknown before does not show that the server restarted.
+bool is_restart(const backend_server& known, const backend_server& server)
 {
     return known.start.is_known() && server.start > known.start;
 }
 
 } // namespace
 
-directory_change server_directory::leave(entry& leaving, core::time_point now)
+directory_change
+server_directory::mark_draining(entry& target, core::time_point now)
 {
-    leaving.lapsed_at.reset();
-    leaving.server.state = server_state::draining;
-    if (leaving.left_at)
+    target.missing_since.reset();
+    target.server.state = server_state::draining;
+    if (target.left_at)
         return directory_change::none;
-    leaving.left_at = now;
+    target.left_at = now;
     return directory_change::left;
 }
 
-// Two living servers cannot share an address. The list may hold entries that
-// no server wrote; one of another service must not take away a living server,
-// and if it is genuine, the entry of the former server is dropped as well.
-void server_directory::replace_at(
+// Two running servers cannot share an address. The list may contain records
+// that no server wrote; one of another service must not remove a running
+// server, and if it is genuine, the record of the former server is removed as
+// well.
+void server_directory::drain_same_address(
     const backend_server& server, core::time_point now)
 {
     for (auto& [id, other] : servers_) {
@@ -44,14 +47,14 @@
                                  other.server.service == server.service &&
                                  other.server.address == server.address;
         if (is_replaced)
-            leave(other, now);
+            mark_draining(other, now);
     }
 }
 
 directory_change
 server_directory::add(const backend_server& server, core::time_point now)
 {
-    replace_at(server, now);
+    drain_same_address(server, now);
     entry& added =
         servers_.emplace(server.id, entry{server, {}, {}, {}}).first->second;
     if (!first_listed_at_)
@@ -64,12 +67,12 @@
     return directory_change::none;
 }
 
-// That the former life left, or that its entry lapsed, says nothing of this
-// one; like any server that has just started, it joins.
-directory_change server_directory::begin_anew(
+// Whether the former incarnation was draining, or its record expired, does not
+// matter for this one; it joins like any server that has just started.
+directory_change server_directory::restart(
     entry& known, const backend_server& server, core::time_point now)
 {
-    replace_at(server, now);
+    drain_same_address(server, now);
     known = entry{server, {}, {}, now};
     if (server.state == server_state::draining)
         known.left_at = now;
@@ -83,18 +86,18 @@
     if (found == servers_.end())
         return add(server, now);
     entry& known = found->second;
-    // A view that is older than what is known, from a slower source.
+    // An older record, from a slower source.
     const std::strong_ordering age = compare_age(server, known.server);
     const bool is_older = age == std::strong_ordering::less;
-    const bool is_no_news = age == std::strong_ordering::equal &&
-                            server.state == server_state::ready;
-    if (is_older || is_no_news)
+    const bool is_unchanged = age == std::strong_ordering::equal &&
+                              server.state == server_state::ready;
+    if (is_older || is_unchanged)
         return directory_change::none;
-    if (is_new_life(known.server, server))
-        return begin_anew(known, server, now);
+    if (is_restart(known.server, server))
+        return restart(known, server, now);
     if (server.state == server_state::draining) {
         known.server = server;
-        return leave(known, now);
+        return mark_draining(known, now);
     }
     const bool was_usable = !known.left_at;
     known = entry{server, {}, {}, known.joined_at};
@@ -105,7 +108,7 @@
 {
     const auto found = servers_.find(id);
     if (found != servers_.end())
-        found->second.lapsed_at.reset();
+        found->second.missing_since.reset();
 }
 
 directory_change server_directory::delisted(
@@ -118,27 +121,27 @@
     if (known.left_at)
         return directory_change::none;
     if (source == source_state::steady)
-        return leave(known, now);
-    if (!known.lapsed_at)
-        known.lapsed_at = now;
+        return mark_draining(known, now);
+    if (!known.missing_since)
+        known.missing_since = now;
     return directory_change::none;
 }
 
 std::vector<server_id> server_directory::expire(core::time_point now)
 {
-    std::vector<server_id> gone;
+    std::vector<server_id> departed;
     for (auto at = servers_.begin(); at != servers_.end();) {
         entry& known = at->second;
-        if (known.lapsed_at && now - *known.lapsed_at >= expiry_grace) {
-            leave(known, now);
-            gone.push_back(at->first);
+        if (known.missing_since && now - *known.missing_since >= expiry_grace) {
+            mark_draining(known, now);
+            departed.push_back(at->first);
         }
         if (known.left_at && now - *known.left_at >= departed_retention)
             at = servers_.erase(at);
         else
             ++at;
     }
-    return gone;
+    return departed;
 }
 
 const backend_server* server_directory::find(const server_id& id) const
