--- a/services/entry/include/godwit/entry/call_dispatcher.hpp
+++ b/services/entry/include/godwit/entry/call_dispatcher.hpp
@@ -16,17 +16,18 @@
 
 namespace godwit::entry {
 
-/// Finds the route and the organisation of each request and has it served.
+/// Finds the route and the organisation of each request and serves it as a
+/// streaming or a buffered call.
 class call_dispatcher
 {
 public:
     explicit call_dispatcher(entry_context& context) : context_(context) {}
 
     /// Serves one exchange to its end.
-    boost::asio::awaitable<void> serve(http::exchange& caller);
+    boost::asio::awaitable<void> serve(http::exchange& exchange);
 
 private:
-    /// What the route table in force says of a request.
+    /// What the current route table says about a request.
     struct resolved_call
     {
         std::shared_ptr<const routing::route_table> routes;
@@ -41,12 +42,12 @@
         std::string route; ///< Empty if there is none.
     };
 
-    [[nodiscard]] tl::expected<resolved_call, unrouted_call>
-    resolve(const http::request& received, const request_metadata& terms) const;
+    [[nodiscard]] tl::expected<resolved_call, unrouted_call> resolve(
+        const http::request& received, const request_metadata& metadata) const;
     boost::asio::awaitable<void>
     wait_while(std::function<bool()> is_outdated) const;
     boost::asio::awaitable<void> refuse(
-        http::exchange& caller,
+        http::exchange& exchange,
         std::string_view attempt_id,
         const unrouted_call& unrouted);
 
--- a/services/entry/include/godwit/entry/call_log.hpp
+++ b/services/entry/include/godwit/entry/call_log.hpp
@@ -17,7 +17,7 @@
 
 namespace godwit::entry {
 
-/// A request got this host's own answer.
+/// Logs that this host responded to a request with its own error.
 void log_refused(
     std::string_view attempt_id,
     std::string_view route,
@@ -25,7 +25,8 @@
     std::uint64_t table_version,
     core::duration waited);
 
-/// A request found no route, no holder of its key or no route table.
+/// Logs a request without a matching route or a known API key, or one that came
+/// before any route table.
 void log_unrouted(
     std::string_view attempt_id,
     std::string_view route,
@@ -33,37 +34,40 @@
     refusal_reason reason,
     std::uint64_t table_version);
 
-/// A request goes to a backend server, chosen by its load as it was known.
+/// Logs the backend server chosen for a request, with the load that the choice
+/// was based on.
 void log_placed(
     const routed_call& call,
     const placement::placement_choice& choice,
     admission::wait_stage stage);
 
-/// A backend server kept no room for a request.
+/// Logs that a backend server did not grant a hold for a request.
 void log_hold_failed(
     const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens,
     std::string_view cause);
 
-/// A send to a backend server failed, or was turned away.
+/// Logs that sending to a backend server failed, or that the server rejected
+/// the request.
 void log_send_failed(
     const routed_call& call,
     const placement::backend_server& server,
     std::string_view fault,
     std::string_view cause);
 
-/// The connection to a backend server broke before the answer was complete.
-/// `fingerprint` is the same for all attempts at a request; `server_leaves`
-/// tells whether the server was already known to be leaving.
+/// Logs that the connection to a backend server broke before the response was
+/// complete. `fingerprint` is the same for all attempts at a request;
+/// `is_server_draining` tells whether the server was already known to be
+/// leaving.
 void log_run_lost(
     const routed_call& call,
     const placement::backend_server& server,
     const admission::request_fingerprint& fingerprint,
-    bool server_leaves);
+    bool is_server_draining);
 
-/// The number of crashes recorded for a request changed; `source` names the
-/// host that reported the change.
+/// Logs that the number of crashes recorded for a request changed; `source`
+/// names the host that reported the change.
 void log_crash_count(
     std::string_view source,
     const admission::request_fingerprint& request,
@@ -74,77 +78,79 @@
 void log_quarantine_trial(
     const routed_call& call, const admission::request_fingerprint& request);
 
-/// Logs that a server still answers after connections to it broke, so that its
+/// Logs that a server still responds after connections to it broke, so that its
 /// lost runs do not count as crashes.
 void log_server_alive(
     const placement::backend_server& server, std::size_t lost_runs);
 
-/// A server's request limit was set, changed or lifted; `source` names the host
-/// that received the answer or reported the change.
+/// Logs that a server's request limit was set, changed or lifted; `source`
+/// names the host that received the response or reported the change.
 void log_server_limit(
     std::string_view source, const placement::server_limit& limit);
 
-/// A server's answer has an invalid request limit.
+/// Logs that a server's response has an invalid request limit.
 void log_invalid_server_limit(const placement::server_id& server);
 
-/// A stream's answer was cut midway.
+/// Logs that a stream broke off before its end.
 void log_stream_interrupted(
     const routed_call& call,
     const placement::backend_server& server,
     std::string_view cause,
     std::uint64_t last_event);
 
-/// The caller closed its connection before it had the whole answer. `server`
-/// is empty while the request waited for one, `last_event` 0 before a first.
+/// Logs that the caller closed its connection before it had the whole response.
+/// `server` is empty while the request waits for one; `last_event` is 0 before
+/// the first event.
 void log_caller_disconnected(
     const routed_call& call, std::string_view server, std::uint64_t last_event);
 
-/// Where in its stream an event stands.
+/// The position of an event in its stream.
 enum class event_position
 {
     first,
     later,
 };
 
-/// An event of a stream came later than its route aims at.
+/// Logs that an event of a stream came later than the objective of its route.
 void log_late_event(
     const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t event,
-    event_position place,
-    core::duration pause,
+    event_position position,
+    core::duration gap,
     core::duration objective);
 
-/// How fast a stream came to its caller.
+/// The timing of a stream's events at the caller.
 struct stream_timing
 {
-    std::optional<core::duration> first; ///< From the call to its first event.
-    core::duration longest_pause{};      ///< Between two later events.
+    std::optional<core::duration> first_event_latency; ///< From call arrival.
+    core::duration longest_gap{}; ///< Between two events after the first.
     std::uint64_t events = 0;
 
     friend bool
     operator==(const stream_timing&, const stream_timing&) = default;
 };
 
-/// A stream came to its end and its caller has all of it.
+/// Logs that a stream ended and its caller has all of it.
 void log_stream_completed(
     const routed_call& call,
     const placement::backend_server& server,
-    const stream_timing& pace);
+    const stream_timing& timing);
 
-/// A running generation goes to this server, for `cause`.
+/// Logs the destination chosen for a running generation; `cause` says why it
+/// migrates.
 void log_migration_chosen(
     const routed_call& call,
     const placement::backend_server& source,
     const placement::placement_choice& choice,
     std::string_view cause);
 
-/// A running generation went on at another server, or could not.
+/// Logs whether a running generation was resumed at another server.
 void log_migration(
     const routed_call& call,
     const placement::backend_server& source,
     std::string_view destination,
-    std::string_view verdict,
-    core::duration took);
+    std::string_view result,
+    core::duration duration);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/call_messages.hpp
+++ b/services/entry/include/godwit/entry/call_messages.hpp
@@ -13,19 +13,20 @@
 
 namespace godwit::entry {
 
-/// The caller's request as a backend server gets it. The time left and the
-/// organisation are filled in; `terms` brings the rest.
+/// Returns the caller's request as it is sent to a backend server. Fills in the
+/// time left and the organisation; the rest comes from `metadata`.
 [[nodiscard]] http::request forwarded_request(
     const entry_context& context,
     const routed_call& call,
-    forwarding_metadata terms);
+    forwarding_metadata metadata);
 
-/// The fingerprint of the request as received from the caller.
+/// Returns the fingerprint of the request as received from the caller.
 [[nodiscard]] admission::request_fingerprint
 fingerprint_of(const routed_call& call);
 
-/// Answers the call from this host: logged, counted, and with when to come
-/// back where it has not run. The arguments live until it is done.
+/// Responds to the call with this host's own error, logs and counts it. The
+/// response has a Retry-After field if the request has not run. The arguments
+/// must outlive the coroutine.
 boost::asio::awaitable<void> refuse_call(
     const routed_call& call,
     telemetry::request_metrics& metrics,
--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -31,14 +31,14 @@
 
 namespace godwit::entry {
 
-/// Runs lost at a server, held until a probe shows whether it crashed.
+/// Runs lost at a server, kept until a probe shows whether it crashed.
 struct crash_probe
 {
     std::vector<admission::crash_report> reports;
 };
 
-/// What the requests of one entry host share. Used on one executor, so that
-/// nothing here needs a lock.
+/// State shared by all requests of one entry host. Used on one executor, so
+/// that it needs no lock.
 class entry_context
 {
 public:
@@ -51,10 +51,10 @@
     entry_context& operator=(const entry_context&) = delete;
 
     const boost::asio::any_io_executor executor;
-    /// Changes only when the process takes over a changed settings file.
+    /// Changes only when the process reloads a changed settings file.
     entry_settings settings;
     const codec_functions codec;
-    /// Null until the first version is known.
+    /// Null until the first version is received.
     std::shared_ptr<const routing::route_table> routes;
     placement::server_directory directory;
     placement::load_ledger ledger;
@@ -71,7 +71,7 @@
     stream_registry streams;
     link_claims claims;
     placement::copy_queue copy_queue;
-    /// Tells the neighbours something; set by the process.
+    /// Sends a message to all neighbours; set by the process.
     std::function<void(const wire::message&)> broadcast;
     /// Called on each crash recorded by this host after which the request is
     /// quarantined, unless a neighbour or the store reported the crash; set by
@@ -81,23 +81,23 @@
     /// process's sources.
     std::function<void(const admission::request_fingerprint&)>
         on_quarantine_lifted;
-    /// Reports a changed limit, or requests that were sent to a limited server,
-    /// to the neighbours; set by the process.
+    /// Sends a changed limit, or the number of requests sent to a limited
+    /// server, to the neighbours; set by the process.
     std::function<void(const placement::server_limit&, unsigned)>
         broadcast_limit;
     /// Returns this host's zero-based rank among the hosts of the fleet for
     /// `key`, by rendezvous hashing; set by the process.
     std::function<std::size_t(std::string_view key)> host_rank;
-    /// Work was added at a server; set by the process.
+    /// Called when work was added at a server; set by the process.
     std::function<void()> on_work_added;
-    /// The host did not run for some time and runs again; set by the process's
-    /// sources, which read everything anew.
+    /// Called when the host runs again after it was suspended; set by the
+    /// process's sources, which then resync.
     std::function<void()> on_resumed;
-    /// Whether the host ran again a moment ago and has not read its sources
-    /// since; set by the process.
+    /// Whether the host resumed after a suspension and has not resynced its
+    /// sources since; set by the process.
     std::function<bool()> is_refreshing;
-    /// Whether there may be a newer version of the route table, known to a
-    /// neighbour; set by the process.
+    /// Whether a neighbour may have a newer version of the route table; set by
+    /// the process.
     std::function<bool()> may_have_stale_routes;
     std::unique_ptr<http::connection_pool> connections;
     std::unique_ptr<telemetry::metrics> metrics;
--- a/services/entry/include/godwit/entry/forwarding_metadata.hpp
+++ b/services/entry/include/godwit/entry/forwarding_metadata.hpp
@@ -10,15 +10,16 @@
 
 namespace godwit::entry {
 
-/// What an entry host tells a backend server beside the request itself.
+/// What an entry host adds to the header fields of a request that it forwards
+/// to a backend server.
 struct forwarding_metadata
 {
-    placement::server_id server; ///< No other one may run the request.
-    core::duration time_left{};  ///< Until the caller leaves.
+    placement::server_id server; ///< The only server that may run the request.
+    core::duration time_left{};  ///< Until the caller's deadline.
     std::optional<core::organisation_name> organisation;
     std::optional<int> priority; ///< Of a generation; 0 is the most urgent.
     std::optional<resume_point> resume_from;
-    std::optional<std::string> hold; ///< Room that the server keeps free.
+    std::optional<std::string> hold; ///< Handle of a hold at the server.
 
     friend bool operator==(
         const forwarding_metadata&, const forwarding_metadata&) = default;
--- a/services/entry/include/godwit/entry/refusal.hpp
+++ b/services/entry/include/godwit/entry/refusal.hpp
@@ -10,36 +10,36 @@
 
 namespace godwit::entry {
 
-/// Why this host answers a request itself.
+/// Why this host responds to a request with an error of its own.
 enum class refusal_reason
 {
-    no_routes,       ///< 503: no version of the routes is known yet.
+    no_routes,       ///< 503: no version of the route table is known yet.
     no_such_route,   ///< 404.
     unknown_key,     ///< 401.
-    no_server,       ///< 503: nobody serves the service now.
+    no_server,       ///< 503: no server offers the service now.
     no_room,         ///< 503: every server is full.
-    servers_refused, ///< 503: the servers said that they did not run it.
+    servers_refused, ///< 503: the servers reported that they did not run it.
     servers_limited, ///< 503: the servers' request limits are used up.
     quarantined,     ///< 503: the request crashes servers that run it.
     answer_lost,     ///< 502: a server may have run it.
-    answer_spoiled,  ///< 502: a server's answer cannot be trusted.
+    answer_spoiled,  ///< 502: a server's response cannot be trusted.
     out_of_time,     ///< 504: a server may have run it.
 };
 
-/// The name of `reason` as it appears in logs and answers.
+/// The name of `reason` as it appears in logs and responses.
 [[nodiscard]] std::string_view to_string(refusal_reason reason) noexcept;
 
-/// What the caller may believe about the request.
+/// Whether the request may have run, as far as the caller can rely on it.
 [[nodiscard]] core::outcome outcome_of(refusal_reason reason) noexcept;
 
-/// This host's own answer: a problem document (RFC 9457), with when to come
-/// back where that can help.
+/// Returns this host's own error as a problem document (RFC 9457), with a
+/// Retry-After field if `retry_after` is set.
 [[nodiscard]] http::response make_refusal_response(
     refusal_reason reason,
     std::optional<core::duration> retry_after = std::nullopt);
 
-/// The same for requests that the server of callers turned away.
+/// Returns the error for a request that the HTTP server rejected.
 [[nodiscard]] http::response
-make_rejection_response(const http::rejection& why);
+make_rejection_response(const http::rejection& rejection);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/request_metadata.hpp
+++ b/services/entry/include/godwit/entry/request_metadata.hpp
@@ -8,12 +8,12 @@
 
 namespace godwit::entry {
 
-/// What a caller says of its request beside the request itself.
+/// What the header fields of a caller's request say about it.
 struct request_metadata
 {
-    std::string attempt_id; ///< Of this attempt alone; empty if absent.
-    std::optional<core::duration> time_left; ///< Until the caller leaves.
-    std::string key; ///< Proves the organisation; empty if absent.
+    std::string attempt_id; ///< Unique to this attempt; empty if absent.
+    std::optional<core::duration> time_left; ///< Until the caller's deadline.
+    std::string key; ///< API key of the organisation; empty if absent.
     std::optional<admission::generation_parameters> generation;
 
     friend bool
--- a/services/entry/include/godwit/entry/response_metadata.hpp
+++ b/services/entry/include/godwit/entry/response_metadata.hpp
@@ -5,17 +5,17 @@
 
 namespace godwit::entry {
 
-/// What a backend server says of its answer beside the answer itself.
+/// What the header fields of a backend server's response say about it.
 struct response_metadata
 {
-    std::string attempt_id; ///< Of the request it answers; empty if absent.
-    bool is_signed = false; ///< The server vouches for the answer.
-    /// The server did not run the request and never will.
+    std::string attempt_id; ///< Of the request it responds to; empty if absent.
+    bool is_signed = false; ///< It carries the server's signature.
+    /// The server did not execute the request and never will.
     bool is_not_run = false;
-    bool is_closing = false; ///< The connection takes no further request.
+    bool is_closing = false; ///< The server closes the connection after it.
     /// Requests per second that the server accepts from all hosts together.
     std::optional<double> requests_per_second;
-    bool has_invalid_limit = false; ///< Invalid or repeated.
+    bool has_invalid_limit = false; ///< Malformed or repeated.
 
     friend bool
     operator==(const response_metadata&, const response_metadata&) = default;
--- a/services/entry/include/godwit/entry/routed_call.hpp
+++ b/services/entry/include/godwit/entry/routed_call.hpp
@@ -11,13 +11,13 @@
 
 namespace godwit::entry {
 
-/// A request that has a route and may be served. It lives as long as its
+/// A request with a route, a service and a deadline. It lives as long as its
 /// exchange.
 struct routed_call
 {
     http::exchange& exchange;
     request_metadata metadata;
-    /// Keeps `route` and `target` alive across changes.
+    /// Keeps `route` and `service` alive when the route table is replaced.
     std::shared_ptr<const routing::route_table> routes;
     const routing::route& route;
     const routing::service& service;
--- a/services/entry/include/godwit/entry/wire_codec.hpp
+++ b/services/entry/include/godwit/entry/wire_codec.hpp
@@ -19,67 +19,68 @@
 
 namespace godwit::entry {
 
-/// The words of callers and backend servers on the wire: what an adapter
-/// translates into this program's terms and back.
+/// Translates between this program's types and the wire format of callers and
+/// backend servers. Implemented by an adapter.
 template<class Codec>
 concept wire_codec = requires(
     const http::header_fields& fields,
-    const forwarding_metadata& forward,
-    const copy_request& order,
-    const hold_request& wanted,
-    const http::response& answer,
+    const forwarding_metadata& forwarding,
+    const copy_request& copy,
+    const hold_request& hold,
+    const http::response& response,
     const std::string& handle)
 {
-    // What a caller's request says of itself.
+    // Reads the header fields of a caller's request.
     {
         Codec::read_request_metadata(fields)
         } -> std::same_as<request_metadata>;
-    // The fields of a request as a backend server gets them.
+    // Returns the header fields of a request to a backend server.
     {
-        Codec::forwarded_fields(fields, forward)
+        Codec::forwarded_fields(fields, forwarding)
         } -> std::same_as<http::header_fields>;
-    // What a backend server's answer says of itself.
+    // Reads the header fields of a backend server's response.
     {
         Codec::read_response_metadata(fields)
         } -> std::same_as<response_metadata>;
-    // The fields of an answer as the caller gets them.
+    // Returns the header fields of a response to the caller.
     {
         Codec::returned_fields(fields)
         } -> std::same_as<http::header_fields>;
     {
-        Codec::write_copy_request(order)
+        Codec::write_copy_request(copy)
         } -> std::same_as<http::request>;
     {
-        Codec::read_copy_response(answer)
+        Codec::read_copy_response(response)
         } -> std::same_as<copy_response>;
-    // Frees a copy that nobody goes on from.
+    // Frees a KV cache copy that no generation resumes from.
     {
         Codec::write_copy_release(handle)
         } -> std::same_as<http::request>;
-    // Keeps room free for a request that is sent next.
+    // Asks a server to hold capacity for a request that is sent next.
     {
-        Codec::write_hold_request(wanted)
+        Codec::write_hold_request(hold)
         } -> std::same_as<http::request>;
     {
-        Codec::read_hold_response(answer)
+        Codec::read_hold_response(response)
         } -> std::same_as<hold_response>;
     {
         Codec::write_hold_release(handle)
         } -> std::same_as<http::request>;
-    // Asks a backend server for its report, and reads it.
+    // Asks a backend server for its load report, and reads it.
     {
         Codec::write_report_request()
         } -> std::same_as<http::request>;
     {
-        Codec::read_report(answer)
+        Codec::read_report(response)
         } -> std::same_as<core::result<server_report>>;
-    // Begins to read a version of the route table as its operator wrote it.
+    // Begins to parse a route table as its operator wrote it.
     {
         Codec::start_reading_table(handle)
         } -> std::same_as<table_parser>;
 };
 
-/// The functions of one codec, so that the program is compiled once.
+/// The functions of one codec as pointers, so that the program is compiled once
+/// and not once for each codec.
 struct codec_functions
 {
     request_metadata (*read_request_metadata)(const http::header_fields&);
--- a/services/entry/src/call_dispatcher.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-// When a caller that met a starting host should come back.
-constexpr core::duration start_come_back = std::chrono::milliseconds(300);
+// Sent as Retry-After by a host that has just started and has no routes yet.
+constexpr core::duration startup_retry_after = std::chrono::milliseconds(300);
 
-// How long a request may wait for a table that this host lacks, and how often
-// it looks.
-constexpr core::duration longest_table_wait = std::chrono::seconds(1);
-constexpr core::duration table_look = std::chrono::milliseconds(10);
+// How long a request may wait for a route table that this host lacks, and how
+// often the host checks for it.
+constexpr core::duration max_table_wait = std::chrono::seconds(1);
+constexpr core::duration table_poll_interval = std::chrono::milliseconds(10);
 
-// Callers do not come back after these.
+// Callers do not retry after these.
 bool is_final(refusal_reason reason)
 {
     return reason == refusal_reason::no_such_route ||
@@ -38,9 +38,9 @@
     return target.substr(0, target.find('?'));
 }
 
-// The service of a route with several, in proportion to their weights; the
-// same attempt always goes the same way.
-const routing::service* pick_service(
+// Chooses one of a route's services in proportion to their weights. The same
+// attempt always gets the same service.
+const routing::service* choose_service(
     const routing::route_table& routes,
     const routing::route& route,
     std::string_view attempt_id)
@@ -48,10 +48,10 @@
     double sum = 0;
     for (const routing::weighted_service& one : route.services)
         sum += one.weight;
-    constexpr auto most =
+    constexpr auto max_hash =
         static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     double point =
-        sum * static_cast<double>(core::stable_hash(attempt_id)) / most;
+        sum * static_cast<double>(core::stable_hash(attempt_id)) / max_hash;
     for (const routing::weighted_service& one : route.services) {
         point -= one.weight;
         if (point <= 0)
@@ -62,53 +62,53 @@
 
 } // namespace
 
-asio::awaitable<void> call_dispatcher::serve(http::exchange& caller)
+asio::awaitable<void> call_dispatcher::serve(http::exchange& exchange)
 {
-    const core::time_point arrived = core::monotonic_now();
-    const http::request& received = caller.received();
-    request_metadata terms =
+    const core::time_point arrival_time = core::monotonic_now();
+    const http::request& received = exchange.received();
+    request_metadata metadata =
         context_.codec.read_request_metadata(received.fields);
     if (context_.is_refreshing())
         co_await wait_while(context_.is_refreshing);
-    auto found = resolve(received, terms);
+    auto found = resolve(received, metadata);
     if (!found && is_final(found.error().reason) &&
         context_.may_have_stale_routes()) {
         co_await wait_while(context_.may_have_stale_routes);
-        found = resolve(received, terms);
+        found = resolve(received, metadata);
     }
     if (!found) {
-        co_await refuse(caller, terms.attempt_id, found.error());
+        co_await refuse(exchange, metadata.attempt_id, found.error());
         co_return;
     }
     const routing::route& route = *found->route;
-    const routing::service* target =
-        pick_service(*found->routes, route, terms.attempt_id);
-    const core::duration span =
-        std::min(terms.time_left.value_or(route.timeout), route.timeout);
+    const routing::service* service =
+        choose_service(*found->routes, route, metadata.attempt_id);
+    const core::duration timeout =
+        std::min(metadata.time_left.value_or(route.timeout), route.timeout);
     routed_call call{
-        caller,
-        std::move(terms),
+        exchange,
+        std::move(metadata),
         found->routes,
         route,
-        *target,
+        *service,
         std::move(found->organisation),
         found->priority,
-        arrived,
-        arrived + span};
+        arrival_time,
+        arrival_time + timeout};
     if (route.mode == routing::response_mode::event_stream) {
         const auto stream =
             std::make_shared<stream_call>(context_, std::move(call));
         co_await stream->run();
         co_return;
     }
-    const auto whole =
+    const auto buffered =
         std::make_shared<buffered_call>(context_, std::move(call));
-    co_await whole->run();
+    co_await buffered->run();
 }
 
 tl::expected<call_dispatcher::resolved_call, call_dispatcher::unrouted_call>
 call_dispatcher::resolve(
-    const http::request& received, const request_metadata& terms) const
+    const http::request& received, const request_metadata& metadata) const
 {
     const auto& routes = context_.routes;
     if (!routes)
@@ -121,25 +121,26 @@
     resolved_call found{routes, route, std::nullopt, route->priority};
     if (!routes->has_organisations() || route->is_public)
         return found;
-    const routing::organisation* holder = routes->find_organisation(terms.key);
-    if (holder == nullptr)
+    const routing::organisation* organisation =
+        routes->find_organisation(metadata.key);
+    if (organisation == nullptr)
         return tl::unexpected(
             unrouted_call{refusal_reason::unknown_key, route->name});
-    found.organisation = holder->name;
-    found.priority = holder->priority.value_or(route->priority);
+    found.organisation = organisation->name;
+    found.priority = organisation->priority.value_or(route->priority);
     return found;
 }
 
 asio::awaitable<void>
 call_dispatcher::wait_while(std::function<bool()> is_outdated) const
 {
-    const core::time_point end = core::monotonic_now() + longest_table_wait;
+    const core::time_point end = core::monotonic_now() + max_table_wait;
     while (is_outdated() && core::monotonic_now() < end)
-        co_await async_sleep(context_.executor, table_look);
+        co_await async_sleep(context_.executor, table_poll_interval);
 }
 
 asio::awaitable<void> call_dispatcher::refuse(
-    http::exchange& caller,
+    http::exchange& exchange,
     std::string_view attempt_id,
     const unrouted_call& unrouted)
 {
@@ -148,7 +149,7 @@
     log_unrouted(
         attempt_id,
         unrouted.route,
-        caller.received(),
+        exchange.received(),
         reason,
         routes ? routes->version() : 0);
     context_.metrics
@@ -159,13 +160,13 @@
              core::request_class_name(std::string(to_string(reason))),
              outcome_of(reason)})
         .Increment();
-    const bool can_come_back = reason == refusal_reason::no_routes;
-    http::response answer = make_refusal_response(
+    const bool may_retry = reason == refusal_reason::no_routes;
+    http::response response = make_refusal_response(
         reason,
-        can_come_back ? std::optional<core::duration>(start_come_back)
-                      : std::nullopt);
+        may_retry ? std::optional<core::duration>(startup_retry_after)
+                  : std::nullopt);
     [[maybe_unused]] const auto sent =
-        co_await caller.respond(std::move(answer));
+        co_await exchange.respond(std::move(response));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/call_log.cpp
+++ b/services/entry/src/call_log.cpp
@@ -11,9 +11,10 @@
 
 constexpr std::string_view component = "entry";
 
-std::int64_t milliseconds(core::duration span)
+std::int64_t milliseconds(core::duration duration)
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
+        .count();
 }
 
 } // namespace
@@ -122,7 +123,7 @@
     const routed_call& call,
     const placement::backend_server& server,
     const admission::request_fingerprint& fingerprint,
-    bool server_leaves)
+    bool is_server_draining)
 {
     telemetry::log_event(
         telemetry::log_level::info,
@@ -133,7 +134,7 @@
          {"fingerprint", fingerprint},
          {"server", server.id},
          {"server_start_ms", server.start.unix_ms},
-         {"server_leaves", server_leaves},
+         {"server_leaves", is_server_draining},
          {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
@@ -239,8 +240,8 @@
     const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t event,
-    event_position place,
-    core::duration pause,
+    event_position position,
+    core::duration gap,
     core::duration objective)
 {
     telemetry::log_event(
@@ -251,15 +252,15 @@
          {"route", call.route.name},
          {"server", server.id},
          {"event_id", event},
-         {"first", place == event_position::first},
-         {"pause_ms", milliseconds(pause)},
+         {"first", position == event_position::first},
+         {"pause_ms", milliseconds(gap)},
          {"objective_ms", milliseconds(objective)}});
 }
 
 void log_stream_completed(
     const routed_call& call,
     const placement::backend_server& server,
-    const stream_timing& pace)
+    const stream_timing& timing)
 {
     telemetry::log_event(
         telemetry::log_level::info,
@@ -268,9 +269,10 @@
         {{"request", call.metadata.attempt_id},
          {"route", call.route.name},
          {"server", server.id},
-         {"events", pace.events},
-         {"first_ms", milliseconds(pace.first.value_or(core::duration()))},
-         {"longest_pause_ms", milliseconds(pace.longest_pause)},
+         {"events", timing.events},
+         {"first_ms",
+          milliseconds(timing.first_event_latency.value_or(core::duration()))},
+         {"longest_pause_ms", milliseconds(timing.longest_gap)},
          {"age_ms", milliseconds(core::monotonic_now() - call.arrival_time)}});
 }
 
@@ -299,8 +301,8 @@
     const routed_call& call,
     const placement::backend_server& source,
     std::string_view destination,
-    std::string_view verdict,
-    core::duration took)
+    std::string_view result,
+    core::duration duration)
 {
     telemetry::log_event(
         telemetry::log_level::info,
@@ -309,8 +311,8 @@
         {{"request", call.metadata.attempt_id},
          {"source", source.id},
          {"destination", destination},
-         {"verdict", verdict},
-         {"took_ms", milliseconds(took)}});
+         {"verdict", result},
+         {"took_ms", milliseconds(duration)}});
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/call_messages.cpp
+++ b/services/entry/src/call_messages.cpp
@@ -11,17 +11,17 @@
 http::request forwarded_request(
     const entry_context& context,
     const routed_call& call,
-    forwarding_metadata terms)
+    forwarding_metadata metadata)
 {
     const http::request& received = call.exchange.received();
-    terms.time_left = std::max(
+    metadata.time_left = std::max(
         call.deadline - core::monotonic_now(),
         core::duration(std::chrono::milliseconds(1)));
-    terms.organisation = call.organisation;
+    metadata.organisation = call.organisation;
     return http::request{
         received.method,
         received.target,
-        context.codec.forwarded_fields(received.fields, terms),
+        context.codec.forwarded_fields(received.fields, metadata),
         received.body};
 }
 
@@ -50,15 +50,14 @@
         call.routes->version(),
         now - call.arrival_time);
     metrics.finished(outcome_of(reason), now);
-    const bool can_come_back = outcome_of(reason) == core::outcome::not_run &&
-                               reason != refusal_reason::quarantined;
-    http::response answer = make_refusal_response(
+    const bool may_retry = outcome_of(reason) == core::outcome::not_run &&
+                           reason != refusal_reason::quarantined;
+    http::response response = make_refusal_response(
         reason,
-        can_come_back ? std::optional<core::duration>(retry_after)
-                      : std::nullopt);
-    // A caller that is gone needs no answer.
+        may_retry ? std::optional<core::duration>(retry_after) : std::nullopt);
+    // Writing fails if the caller has disconnected; it needs no response then.
     [[maybe_unused]] const auto sent =
-        co_await call.exchange.respond(std::move(answer));
+        co_await call.exchange.respond(std::move(response));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_context.cpp
+++ b/services/entry/src/entry_context.cpp
@@ -14,8 +14,8 @@
     http::connection_pool_limits limits;
     limits.idle_per_server = 16;
     limits.idle_in_all = 512;
-    // Backend servers close idle connections after some seconds; a request
-    // that meets the close may have run.
+    // Backend servers close idle connections after some seconds, and a request
+    // that is sent while the server closes may have run.
     limits.idle_time = std::chrono::seconds(3);
     return limits;
 }
@@ -23,10 +23,11 @@
 } // namespace
 
 entry_context::entry_context(
-    const boost::asio::any_io_executor& used,
-    entry_settings read,
-    const codec_functions& spoken)
-    : executor(used), settings(std::move(read)), codec(spoken),
+    const boost::asio::any_io_executor& io_executor,
+    entry_settings initial_settings,
+    const codec_functions& wire_codec_functions)
+    : executor(io_executor), settings(std::move(initial_settings)),
+      codec(wire_codec_functions),
       placer(
           directory,
           ledger,
--- a/services/entry/src/refusal.cpp
+++ b/services/entry/src/refusal.cpp
@@ -41,23 +41,23 @@
     return unavailable;
 }
 
-std::string seconds_text(core::duration span)
+std::string format_seconds(core::duration duration)
 {
     std::array<char, 32> text{};
-    const double seconds = std::chrono::duration<double>(span).count();
+    const double seconds = std::chrono::duration<double>(duration).count();
     std::snprintf(text.data(), text.size(), "%.2f", seconds);
     return text.data();
 }
 
 http::response problem(std::string_view title, std::string_view outcome)
 {
-    http::response answer;
-    answer.fields.set("Content-Type", "application/problem+json");
+    http::response response;
+    response.fields.set("Content-Type", "application/problem+json");
     boost::json::object body;
     body["title"] = title;
     body["outcome"] = outcome;
-    answer.body = boost::json::serialize(body);
-    return answer;
+    response.body = boost::json::serialize(body);
+    return response;
 }
 
 } // namespace
@@ -106,27 +106,27 @@
 http::response make_refusal_response(
     refusal_reason reason, std::optional<core::duration> retry_after)
 {
-    http::response answer =
+    http::response response =
         problem(to_string(reason), core::to_string(outcome_of(reason)));
-    answer.status = status_of(reason);
+    response.status = status_of(reason);
     if (retry_after)
-        answer.fields.set("Retry-After", seconds_text(*retry_after));
+        response.fields.set("Retry-After", format_seconds(*retry_after));
     if (reason == refusal_reason::unknown_key)
-        answer.fields.set("WWW-Authenticate", "Bearer");
-    return answer;
+        response.fields.set("WWW-Authenticate", "Bearer");
+    return response;
 }
 
-http::response make_rejection_response(const http::rejection& why)
+http::response make_rejection_response(const http::rejection& rejection)
 {
-    // A handler that failed may have sent the request before it did.
+    // A handler may have sent the request before it failed.
     const bool reached_handler =
-        why.reason == http::rejection_reason::handler_failed;
+        rejection.reason == http::rejection_reason::handler_failed;
     const core::outcome outcome =
         reached_handler ? core::outcome::unknown : core::outcome::not_run;
-    http::response answer =
-        problem(http::to_string(why.reason), core::to_string(outcome));
-    answer.status = why.status;
-    return answer;
+    http::response response =
+        problem(http::to_string(rejection.reason), core::to_string(outcome));
+    response.status = rejection.status;
+    return response;
 }
 
 } // namespace godwit::entry
