--- a/services/entry/include/godwit/entry/buffered_call.hpp
+++ b/services/entry/include/godwit/entry/buffered_call.hpp
@@ -15,8 +15,8 @@
 
 namespace godwit::entry {
 
-/// Serves a request whose answer is delivered whole: sends it, sends it once
-/// more where that is allowed and can help, and delivers one answer.
+/// Serves a request whose response is delivered in one piece: sends it, retries
+/// it where that is allowed and can help, and delivers one response.
 class buffered_call : public std::enable_shared_from_this<buffered_call>
 {
 public:
@@ -25,41 +25,43 @@
     boost::asio::awaitable<void> run();
 
 private:
-    /// What became of one send.
+    /// The outcome of one attempt.
     struct attempt_result
     {
-        std::optional<http::response> answer;
-        std::optional<refusal_reason> refusal; ///< Without an answer.
+        std::optional<http::response> response;
+        std::optional<refusal_reason> refusal; ///< Set if there is no response.
         bool may_have_run = true;
-        /// The answer is the caller's unless another server does better.
+        /// The response is delivered only if no other server has a better one.
         bool is_failure = true;
     };
 
-    /// Whether the request is quarantined; `last` then holds what to answer.
+    /// Whether the request is quarantined; `last` then holds what to respond
+    /// with.
     [[nodiscard]] bool apply_quarantine(attempt_result& last);
     [[nodiscard]] core::duration
     shortest_limit_wait(core::time_point now) const;
-    [[nodiscard]] bool may_repeat(core::time_point now);
+    [[nodiscard]] bool may_retry(core::time_point now);
     [[nodiscard]] core::time_point attempt_end(core::time_point now);
-    boost::asio::awaitable<std::optional<placement::backend_server>> place();
+    boost::asio::awaitable<std::optional<placement::backend_server>>
+    choose_server();
     boost::asio::awaitable<attempt_result>
     attempt(placement::backend_server server);
     boost::asio::awaitable<void> deliver(attempt_result result);
     boost::asio::awaitable<void> refuse(refusal_reason reason);
-    void caller_left();
+    void on_caller_disconnected();
 
     entry_context& context_;
     routed_call call_;
     quarantine_gate gate_;
-    unsigned runs_ = 0; ///< Servers that may have run the request.
+    unsigned runs_ = 0; ///< Attempts that a server may have executed.
     unsigned refusals_ = 0;
     std::vector<placement::server_id> tried_;
     std::shared_ptr<upstream> active_;
-    wait_queue::waiter* waiting_ = nullptr;
+    wait_queue::waiter* waiter_ = nullptr;
     telemetry::request_metrics metrics_;
     /// Time until a limited server accepts another request.
     core::duration limit_wait_{};
-    bool caller_gone_ = false;
+    bool is_caller_disconnected_ = false;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/event_splitter.hpp
+++ b/services/entry/include/godwit/entry/event_splitter.hpp
@@ -10,20 +10,21 @@
 
 namespace godwit::entry {
 
-/// Cuts an event stream into whole events without changing a byte, so that
-/// a server that dies within an event leaves none of it with the caller.
+/// Splits an event stream into complete events without changing a byte, so that
+/// the caller gets no part of an event that the server did not finish before it
+/// died.
 class event_splitter
 {
 public:
-    /// A longer event ends the stream: an engine's are below 2 KB.
+    /// Fails the stream on a longer event; an engine's events are below 2 KB.
     static constexpr std::size_t max_event_bytes = std::size_t{256} * 1024;
 
-    /// The events that `bytes` complete. Fails with `exhausted` when one is
-    /// larger than the bound.
+    /// Returns the events that `bytes` complete. Fails with `exhausted` if one
+    /// is larger than `max_event_bytes`.
     [[nodiscard]] core::result<std::vector<raw_event>>
     push(std::string_view bytes);
 
-    /// Whether the stream so far ends between two events.
+    /// Whether no incomplete event is pending.
     [[nodiscard]] bool is_at_event_boundary() const noexcept
     {
         return pending_.empty();
--- a/services/entry/include/godwit/entry/raw_event.hpp
+++ b/services/entry/include/godwit/entry/raw_event.hpp
@@ -6,10 +6,10 @@
 
 namespace godwit::entry {
 
-/// One whole event of a stream, byte for byte.
+/// One complete event of a stream, byte for byte.
 struct raw_event
 {
-    std::string bytes; ///< With the empty line at its end.
+    std::string bytes; ///< Including the empty line at its end.
     std::optional<std::uint64_t> id;
 
     friend bool operator==(const raw_event&, const raw_event&) = default;
--- a/services/entry/include/godwit/entry/running_stream.hpp
+++ b/services/entry/include/godwit/entry/running_stream.hpp
@@ -5,19 +5,20 @@
 
 namespace godwit::entry {
 
-/// A stream that is being relayed, as the register of streams sees it.
+/// The stream registry's view of a stream that is being relayed.
 class running_stream
 {
 public:
     virtual ~running_stream() = default;
 
-    /// The server that runs the generation leaves.
+    /// The server that runs the generation is draining.
     virtual void on_server_draining() = 0;
 
-    /// The server began anew: the generation is gone there.
+    /// The server restarted: the generation is lost there.
     virtual void on_server_restarted() = 0;
 
-    /// How long nothing has come from the server, if something should have.
+    /// How long the server has sent nothing, beyond the time that it may take
+    /// to the first event.
     [[nodiscard]] virtual core::duration
     idle_time(core::time_point now) const = 0;
 
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -25,8 +25,9 @@
 
 namespace godwit::entry {
 
-/// Serves a request whose answer is an event stream. It runs at most once;
-/// when its server leaves, the same run goes on at another one.
+/// Serves a request whose response is an event stream. The generation runs at
+/// most once; when its server leaves, the same generation resumes at another
+/// one.
 class stream_call : public running_stream,
                     public std::enable_shared_from_this<stream_call>
 {
@@ -50,34 +51,34 @@
     boost::asio::awaitable<std::optional<http::response_head>>
     send_to(placement::backend_server server);
     boost::asio::awaitable<std::optional<http::response_head>>
-    take_answer(http::response_head head);
+    handle_response_head(http::response_head head);
     boost::asio::awaitable<void> relay(http::response_head head);
     boost::asio::awaitable<bool> relay_events(std::string bytes);
     boost::asio::awaitable<std::optional<http::response_head>>
-    go_on_elsewhere();
+    resume_elsewhere();
     boost::asio::awaitable<std::optional<http::response_head>>
-    resume(migrated_run moved);
+    resume_at(migrated_run migrated);
     boost::asio::awaitable<void> refuse(refusal_reason reason);
-    boost::asio::awaitable<void> pass_on_failure(http::response_head head);
-    boost::asio::awaitable<void> give_up_send(upstream_failure why);
+    boost::asio::awaitable<void> forward_failure(http::response_head head);
+    boost::asio::awaitable<void> handle_send_failure(upstream_failure failure);
     [[nodiscard]] http::request request_for(
         const placement::server_id& server,
         std::optional<resume_point> resume_from) const;
     [[nodiscard]] admission::generation_size size() const;
-    [[nodiscard]] placement::work_size moved_work() const;
+    [[nodiscard]] placement::work_size migrated_work() const;
     [[nodiscard]] std::uint64_t tokens_left() const;
-    void not_run_at(const placement::backend_server& server);
-    void adopt(std::shared_ptr<upstream> serving);
-    void leave_server();
+    void exclude_server(const placement::backend_server& server);
+    void attach_to(std::shared_ptr<upstream> server_exchange);
+    void detach_from_server();
     void stop_migration();
-    void forget_failed_migration();
+    void discard_failed_migration();
     void migrate(migration_cause cause);
     void consider_rebalancing();
-    void drop_hold(const placement::backend_server& server);
-    void watch_pause();
-    boost::asio::awaitable<bool> pass_on(std::string ready);
-    void caller_left();
-    void cut(std::string_view cause);
+    void release_unused_hold(const placement::backend_server& server);
+    void record_event_gap();
+    boost::asio::awaitable<bool> write_to_caller(std::string ready);
+    void on_caller_disconnected();
+    void interrupt(std::string_view cause);
 
     entry_context& context_;
     std::shared_ptr<const routed_call> call_;
@@ -87,17 +88,17 @@
     std::unique_ptr<reservation> reserved_;
     std::optional<std::string> hold_;
     std::shared_ptr<migrator> migration_;
-    placement::zone_rebalancer rebalancing_;
-    event_splitter splitter_;
+    placement::zone_rebalancer rebalancer_;
+    event_splitter event_splitter_;
     std::uint64_t last_event_ = 0;
-    stream_timing pace_;
-    placement::event_gap_tracker rhythm_;
+    stream_timing timing_;
+    placement::event_gap_tracker event_gaps_;
     core::time_point sent_at_{};
     std::optional<core::time_point> last_relayed_;
     unsigned refusals_ = 0;
     bool is_registered_ = false;
     telemetry::request_metrics metrics_;
-    bool caller_gone_ = false;
+    bool is_caller_disconnected_ = false;
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/stream_registry.hpp
+++ b/services/entry/include/godwit/entry/stream_registry.hpp
@@ -11,32 +11,33 @@
 
 namespace godwit::entry {
 
-/// Which streams run at which backend server. Used on one executor.
+/// Running streams by backend server. Used on one executor.
 class stream_registry
 {
 public:
     void add(const placement::server_id& server, running_stream& stream);
     void remove(const placement::server_id& server, running_stream& stream);
 
-    /// Tells each stream at the server that it leaves.
+    /// Notifies each stream at the server that the server is draining.
     void notify_draining(const placement::server_id& server);
 
-    /// Tells each stream at the server that the server began anew.
+    /// Notifies each stream at the server that the server restarted.
     void notify_restarted(const placement::server_id& server);
 
-    /// The servers of which every stream of this host has been silent for
-    /// `span`: they hang or are cut off, whatever the list says. One silent
-    /// stream among others was pushed off for a while.
+    /// Returns the servers from which no stream of this host has received
+    /// anything for `idle_limit`: they hang or cannot be reached, even if they
+    /// are still listed. A single idle stream among others was only preempted
+    /// for a while.
     [[nodiscard]] std::vector<placement::server_id>
-    unresponsive_servers(core::duration span, core::time_point now) const;
+    unresponsive_servers(core::duration idle_limit, core::time_point now) const;
 
-    /// The servers that run streams.
+    /// Returns the servers that run streams.
     [[nodiscard]] std::vector<placement::server_id> servers() const;
 
     [[nodiscard]] std::size_t size() const noexcept;
 
 private:
-    /// A copy, since the streams may change the register while they are told.
+    /// Returns a copy, since notified streams may change the registry.
     [[nodiscard]] std::vector<running_stream*>
     streams_at(const placement::server_id& server) const;
 
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-// Of the latency objective: how long a request waits for a server to be
-// listed at all before it is told to come back.
-constexpr double longest_wait_share = 0.5;
-// An idempotent request that has no answer after twice its objective is sent
-// to another server, while there is time for it.
-constexpr int patience_objectives = 2;
-constexpr core::duration shortest_patience = std::chrono::milliseconds(250);
-// When a caller that was told "no server" should come back.
+// Part of the latency objective that a request may wait for any server to be
+// listed before it is refused.
+constexpr double max_wait_share = 0.5;
+// An idempotent request without a response after twice its objective is sent to
+// another server, while there is time left.
+constexpr int attempt_timeout_objectives = 2;
+constexpr core::duration min_attempt_timeout = std::chrono::milliseconds(250);
+// Sent as Retry-After when no server is available.
 constexpr core::duration retry_after = std::chrono::milliseconds(300);
-// Servers that may turn one request away before it is given up.
-constexpr unsigned most_refusals = 3;
-constexpr unsigned first_server_error = 500;
+// Servers that may refuse one request before this host gives up.
+constexpr unsigned max_refusals = 3;
+constexpr unsigned min_server_error_status = 500;
 
 std::string_view name_of(upstream_fault fault)
 {
@@ -54,32 +54,32 @@
 asio::awaitable<void> buffered_call::run()
 {
     call_.exchange.on_caller_gone([weak = weak_from_this()] {
-        if (const auto kept = weak.lock())
-            kept->caller_left();
+        if (const auto self = weak.lock())
+            self->on_caller_disconnected();
     });
     context_.budgets.record_first_attempt(
         call_.service.name, call_.arrival_time);
     attempt_result last;
     last.refusal = refusal_reason::no_server;
     last.may_have_run = false;
-    while (!caller_gone_ && !apply_quarantine(last)) {
-        const auto server = co_await place();
-        if (caller_gone_)
+    while (!is_caller_disconnected_ && !apply_quarantine(last)) {
+        const auto server = co_await choose_server();
+        if (is_caller_disconnected_)
             co_return;
         if (!server && limit_wait_ > core::duration() && !last.may_have_run)
             last.refusal = refusal_reason::servers_limited;
         if (!server || apply_quarantine(last))
             break;
-        attempt_result now = co_await attempt(*server);
-        // A refusal says nothing more than what is already known, and an
-        // answer that came is the caller's whatever a repeat brings.
-        const bool is_worse = (!now.may_have_run && last.may_have_run) ||
-                              (!now.answer && last.answer);
+        attempt_result current = co_await attempt(*server);
+        // A refusal adds nothing to what is already known, and a response that
+        // has arrived is delivered whatever a retry brings.
+        const bool is_worse = (!current.may_have_run && last.may_have_run) ||
+                              (!current.response && last.response);
         if (!is_worse)
-            last = std::move(now);
-        if (caller_gone_)
+            last = std::move(current);
+        if (is_caller_disconnected_)
             co_return;
-        if (!last.is_failure || !may_repeat(core::monotonic_now()))
+        if (!last.is_failure || !may_retry(core::monotonic_now()))
             break;
     }
     co_await deliver(std::move(last));
@@ -96,20 +96,20 @@
     return true;
 }
 
-void buffered_call::caller_left()
+void buffered_call::on_caller_disconnected()
 {
     metrics_.finished(core::outcome::interrupted, core::monotonic_now());
-    caller_gone_ = true;
+    is_caller_disconnected_ = true;
     const std::string server =
         active_ ? active_->server().id.value() : std::string();
     log_caller_disconnected(call_, server, 0);
-    if (waiting_ != nullptr)
-        waiting_->cancel();
+    if (waiter_ != nullptr)
+        waiter_->cancel();
     if (active_)
         active_->cancel();
 }
 
-// Time until the first untried server accepts another request.
+// Returns the time until the first untried server accepts another request.
 core::duration buffered_call::shortest_limit_wait(core::time_point now) const
 {
     core::duration shortest = core::duration::max();
@@ -122,21 +122,22 @@
     return shortest;
 }
 
-asio::awaitable<std::optional<placement::backend_server>> buffered_call::place()
+asio::awaitable<std::optional<placement::backend_server>>
+buffered_call::choose_server()
 {
     limit_wait_ = core::duration();
-    placement::placement_request wanted;
-    wanted.service = &call_.service;
-    wanted.work.requests = 1;
-    wanted.preferred_zone = context_.settings.zone;
-    wanted.excluded = tried_;
-    const auto longest = std::chrono::duration_cast<core::duration>(
-        call_.route.latency_objective * longest_wait_share);
+    placement::placement_request request;
+    request.service = &call_.service;
+    request.work.requests = 1;
+    request.preferred_zone = context_.settings.zone;
+    request.excluded = tried_;
+    const auto max_wait = std::chrono::duration_cast<core::duration>(
+        call_.route.latency_objective * max_wait_share);
     const core::time_point end =
-        std::min(call_.arrival_time + longest, call_.deadline);
-    while (!caller_gone_) {
+        std::min(call_.arrival_time + max_wait, call_.deadline);
+    while (!is_caller_disconnected_) {
         const core::time_point now = core::monotonic_now();
-        const auto found = context_.placer.choose(wanted, now);
+        const auto found = context_.placer.choose(request, now);
         if (found) {
             log_placed(call_, *found, admission::wait_stage::timely);
             co_return found->server;
@@ -148,11 +149,11 @@
         }
         if (now >= end || !tried_.empty())
             co_return std::nullopt;
-        wait_queue::waiter waiting(
+        wait_queue::waiter waiter(
             context_.queue, context_.executor, call_.priority);
-        waiting_ = &waiting;
-        co_await waiting.wait_turn(end);
-        waiting_ = nullptr;
+        waiter_ = &waiter;
+        co_await waiter.wait_turn(end);
+        waiter_ = nullptr;
     }
     co_return std::nullopt;
 }
@@ -164,9 +165,10 @@
         runs_ + 1 < call_.route.max_attempts;
     if (!may_run_again)
         return call_.deadline;
-    const core::duration patience = std::max<core::duration>(
-        call_.route.latency_objective * patience_objectives, shortest_patience);
-    return std::min(now + patience, call_.deadline);
+    const core::duration attempt_timeout = std::max<core::duration>(
+        call_.route.latency_objective * attempt_timeout_objectives,
+        min_attempt_timeout);
+    return std::min(now + attempt_timeout, call_.deadline);
 }
 
 asio::awaitable<buffered_call::attempt_result>
@@ -182,10 +184,10 @@
     const core::time_point end = attempt_end(core::monotonic_now());
 
     attempt_result result;
-    forwarding_metadata terms;
-    terms.server = server.id;
+    forwarding_metadata forwarding;
+    forwarding.server = server.id;
     http::request outgoing =
-        forwarded_request(context_, call_, std::move(terms));
+        forwarded_request(context_, call_, std::move(forwarding));
     const std::string attempt_id = call_.metadata.attempt_id;
     auto head = co_await exchange->send(std::move(outgoing), attempt_id, end);
     upstream_result<std::string> body;
@@ -194,14 +196,15 @@
     active_.reset();
     const core::time_point now = core::monotonic_now();
     if (!head || !body) {
-        const upstream_failure why = head ? body.error() : head.error();
-        if (caller_gone_)
+        const upstream_failure failure = head ? body.error() : head.error();
+        if (is_caller_disconnected_)
             co_return result;
-        log_send_failed(call_, server, name_of(why.fault), why.cause.message());
-        if (is_lost_run(why))
+        log_send_failed(
+            call_, server, name_of(failure.fault), failure.cause.message());
+        if (is_lost_run(failure))
             record_lost_run(context_, call_, server);
         context_.health.record_unreachable(server.id, now);
-        result.may_have_run = why.fault != upstream_fault::unreachable;
+        result.may_have_run = failure.fault != upstream_fault::unreachable;
         result.refusal = refusal_reason::answer_lost;
         if (!result.may_have_run)
             result.refusal = refusal_reason::no_server;
@@ -211,10 +214,10 @@
         co_return result;
     }
     exchange->release_connection();
-    const response_metadata said =
+    const response_metadata response =
         context_.codec.read_response_metadata(head->fields);
-    result.may_have_run = !said.is_not_run;
-    if (said.is_not_run) {
+    result.may_have_run = !response.is_not_run;
+    if (response.is_not_run) {
         ++refusals_;
         context_.health.record_full(server.id, now);
         log_send_failed(call_, server, "not_run", std::to_string(head->status));
@@ -222,9 +225,9 @@
         co_return result;
     }
     ++runs_;
-    const bool is_error = head->status >= first_server_error;
-    if (!is_error && !said.is_signed) {
-        // Bytes that the server does not vouch for are nobody's answer.
+    const bool is_error = head->status >= min_server_error_status;
+    if (!is_error && !response.is_signed) {
+        // A response without the server's signature must not be delivered.
         context_.health.record_failure(server.id);
         log_send_failed(
             call_, server, "unsigned", std::to_string(head->status));
@@ -237,16 +240,16 @@
         context_.health.record_success(server.id);
     record_completed_run(context_, call_);
     result.is_failure = is_error;
-    result.answer = http::response{
+    result.response = http::response{
         head->status,
         context_.codec.returned_fields(head->fields),
         std::move(*body)};
     co_return result;
 }
 
-bool buffered_call::may_repeat(core::time_point now)
+bool buffered_call::may_retry(core::time_point now)
 {
-    if (now >= call_.deadline || refusals_ >= most_refusals)
+    if (now >= call_.deadline || refusals_ >= max_refusals)
         return false;
     if (runs_ > 0 &&
         (call_.route.retries != routing::retry_semantics::idempotent ||
@@ -259,17 +262,17 @@
 
 asio::awaitable<void> buffered_call::deliver(attempt_result result)
 {
-    if (caller_gone_)
+    if (is_caller_disconnected_)
         co_return;
-    if (!result.answer) {
+    if (!result.response) {
         co_await refuse(result.refusal.value_or(refusal_reason::answer_lost));
         co_return;
     }
     metrics_.finished(core::outcome::completed, core::monotonic_now());
-    // A caller that is gone meanwhile has no use for the answer, and says so
-    // by its closed connection.
+    // Writing fails if the caller has disconnected meanwhile; it needs no
+    // response then.
     [[maybe_unused]] const auto sent =
-        co_await call_.exchange.respond(std::move(*result.answer));
+        co_await call_.exchange.respond(std::move(*result.response));
 }
 
 asio::awaitable<void> buffered_call::refuse(refusal_reason reason)
--- a/services/entry/src/event_splitter.cpp
+++ b/services/entry/src/event_splitter.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The size of the first whole event, or 0. An empty line ends an event; its
-// lines end in LF or CRLF.
+// Returns the size of the first complete event, or 0. An empty line ends an
+// event; lines end in LF or CRLF.
 std::size_t first_event(std::string_view text)
 {
     for (auto at = text.find('\n'); at != std::string_view::npos;
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// A server that does not answer within this time counts as crashed.
+// A server that does not respond within this time counts as crashed.
 constexpr core::duration probe_timeout = std::chrono::milliseconds(250);
 
 void record_crash(entry_context& context, const admission::crash_report& report)
@@ -38,8 +38,9 @@
         context.on_quarantined(*context.quarantine.find(report.request));
 }
 
-// Requests the report of an engine, which also shows whether it restarted.
-// Other servers have no inexpensive endpoint, so they are only connected to.
+// Requests the load report of an engine, which also shows whether it restarted.
+// Other servers have no inexpensive endpoint, so only a connection is opened to
+// them.
 asio::awaitable<bool> is_alive(
     entry_context& context,
     const placement::backend_server& server,
@@ -54,13 +55,13 @@
     }
     http::request outgoing = context.codec.write_report_request();
     const http::fetch_limits limits{.deadline = probe_timeout};
-    const auto answered =
+    const auto fetched =
         co_await http::fetch(server.address, std::move(outgoing), limits);
-    if (!answered)
+    if (!fetched)
         co_return false;
-    const auto report = context.codec.read_report(*answered);
-    // The start may be unknown on either side; only two known starts that
-    // differ show a restart.
+    const auto report = context.codec.read_report(*fetched);
+    // Either start time may be unknown; only two known start times that differ
+    // show a restart.
     const bool has_restarted = report && report->start.is_known() &&
                                server.start.is_known() &&
                                report->start != server.start;
@@ -125,10 +126,11 @@
     const placement::backend_server& server)
 {
     const admission::request_fingerprint request = fingerprint_of(call);
-    // A server may abort its runs when it leaves, so such losses are expected.
-    const bool server_leaves = context.directory.left_at(server.id).has_value();
-    log_run_lost(call, server, request, server_leaves);
-    if (server_leaves)
+    // A draining server may abort its runs, so such losses are expected.
+    const bool is_server_draining =
+        context.directory.left_at(server.id).has_value();
+    log_run_lost(call, server, request, is_server_draining);
+    if (is_server_draining)
         return;
     confirm_crash(
         context,
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-// Servers that may turn one request away before it is given up.
-constexpr unsigned most_refusals = 3;
-constexpr unsigned first_failure = 300;
-// A caller that takes longer holds up what its stream's server wrote: the next
-// gap is the caller's.
-constexpr core::duration prompt_write = std::chrono::milliseconds(10);
+// Servers that may refuse one request before this host gives up.
+constexpr unsigned max_refusals = 3;
+constexpr unsigned min_failure_status = 300;
+// A caller that takes longer to read delays what the server wrote, so that the
+// next gap is the caller's and not the server's.
+constexpr core::duration slow_write_threshold = std::chrono::milliseconds(10);
 
 } // namespace
 
@@ -27,7 +27,7 @@
     : context_(context),
       call_(std::make_shared<const routed_call>(std::move(call))),
       gate_(context), search_(context, call_),
-      rebalancing_(context.settings.zone),
+      rebalancer_(context.settings.zone),
       metrics_(
           *context.metrics,
           call_->service.name,
@@ -37,25 +37,25 @@
 
 stream_call::~stream_call()
 {
-    leave_server();
+    detach_from_server();
 }
 
 asio::awaitable<void> stream_call::run()
 {
     call_->exchange.on_caller_gone([weak = weak_from_this()] {
-        if (const auto kept = weak.lock())
-            kept->caller_left();
+        if (const auto self = weak.lock())
+            self->on_caller_disconnected();
     });
     context_.budgets.record_first_attempt(
         call_->service.name, call_->arrival_time);
     co_await start();
-    leave_server();
+    detach_from_server();
 }
 
-void stream_call::caller_left()
+void stream_call::on_caller_disconnected()
 {
     metrics_.finished(core::outcome::interrupted, core::monotonic_now());
-    caller_gone_ = true;
+    is_caller_disconnected_ = true;
     const std::string server =
         is_registered_ ? active_->server().id.value() : std::string();
     log_caller_disconnected(*call_, server, last_event_);
@@ -70,52 +70,53 @@
     const placement::server_id& server,
     std::optional<resume_point> resume_from) const
 {
-    forwarding_metadata terms;
-    terms.server = server;
-    // Where room was kept the order is settled. An urgent request would stop
-    // the newest of the others when memory ends, to be read again: three
-    // times as many prompts were read in vain.
+    forwarding_metadata forwarding;
+    forwarding.server = server;
+    // A hold already settles the order of requests. With a priority, an urgent
+    // request would preempt the newest of the others when memory runs out, and
+    // their prompts would be processed again: three times as many prompts were
+    // processed in vain.
     if (call_->service.engine && !supports_holds(*call_))
-        terms.priority = call_->priority;
+        forwarding.priority = call_->priority;
     if (!resume_from)
-        terms.hold = hold_;
-    terms.resume_from = std::move(resume_from);
-    return forwarded_request(context_, *call_, std::move(terms));
+        forwarding.hold = hold_;
+    forwarding.resume_from = std::move(resume_from);
+    return forwarded_request(context_, *call_, std::move(forwarding));
 }
 
 asio::awaitable<bool> stream_call::start()
 {
-    while (!caller_gone_) {
+    while (!is_caller_disconnected_) {
         if (gate_.refuses(*call_)) {
             co_await refuse(refusal_reason::quarantined);
             co_return false;
         }
-        auto room = co_await search_.next();
-        if (caller_gone_)
+        auto found = co_await search_.next();
+        if (is_caller_disconnected_)
             co_return false;
-        if (!room) {
+        if (!found) {
             co_await refuse(refusal_reason::no_room);
             co_return false;
         }
-        reserved_ = std::move(room->reserved);
-        hold_ = std::move(room->hold);
+        reserved_ = std::move(found->reserved);
+        hold_ = std::move(found->hold);
         if (gate_.refuses(*call_)) {
-            drop_hold(room->server);
+            release_unused_hold(found->server);
             continue;
         }
-        auto head = co_await send_to(std::move(room->server));
+        auto head = co_await send_to(std::move(found->server));
         if (head) {
             co_await relay(std::move(*head));
             co_return true;
         }
-        if (caller_gone_ || call_->exchange.is_answered())
+        if (is_caller_disconnected_ || call_->exchange.is_answered())
             co_return false;
         const core::time_point now = core::monotonic_now();
-        const bool may_go_on =
-            refusals_ < most_refusals &&
+        const bool may_retry =
+            refusals_ < max_refusals &&
             (refusals_ == 0 ||
              context_.budgets.try_spend(call_->service.name, now));
-        if (!may_go_on) {
+        if (!may_retry) {
             co_await refuse(refusal_reason::servers_refused);
             co_return false;
         }
@@ -123,19 +124,19 @@
     co_return false;
 }
 
-void stream_call::drop_hold(const placement::backend_server& server)
+void stream_call::release_unused_hold(const placement::backend_server& server)
 {
     if (hold_)
         release_hold(context_, server, *std::exchange(hold_, std::nullopt));
 }
 
-// The head of a stream that runs, or nothing: then the request did not run,
-// or its caller has an answer.
+// Returns the head of a running stream. Returns nothing if the request did not
+// run, or if its caller already has a response.
 asio::awaitable<std::optional<http::response_head>>
 stream_call::send_to(placement::backend_server server)
 {
     sent_at_ = core::monotonic_now();
-    adopt(std::make_shared<upstream>(
+    attach_to(std::make_shared<upstream>(
         context_, server, call_->route.latency_objective));
     http::request outgoing = request_for(server.id, std::nullopt);
     const std::string attempt_id = call_->metadata.attempt_id;
@@ -146,39 +147,39 @@
     if (was_handed_over)
         hold_.reset();
     else
-        drop_hold(server);
-    if (caller_gone_)
+        release_unused_hold(server);
+    if (is_caller_disconnected_)
         co_return std::nullopt;
     if (!head) {
-        // The run may have been moved before its first event.
-        auto moved_head = co_await go_on_elsewhere();
-        if (!moved_head)
-            co_await give_up_send(head.error());
-        co_return moved_head;
+        // The generation may have migrated before its first event.
+        auto migrated_head = co_await resume_elsewhere();
+        if (!migrated_head)
+            co_await handle_send_failure(head.error());
+        co_return migrated_head;
     }
-    co_return co_await take_answer(std::move(*head));
+    co_return co_await handle_response_head(std::move(*head));
 }
 
-// The head if it begins a stream that may be relayed.
+// Returns the head if the stream may be relayed.
 asio::awaitable<std::optional<http::response_head>>
-stream_call::take_answer(http::response_head head)
+stream_call::handle_response_head(http::response_head head)
 {
     const placement::backend_server& server = active_->server();
-    const response_metadata said =
+    const response_metadata response =
         context_.codec.read_response_metadata(head.fields);
-    if (said.is_not_run) {
+    if (response.is_not_run) {
         log_send_failed(*call_, server, "not_run", std::to_string(head.status));
         context_.health.record_full(server.id, core::monotonic_now());
         ++refusals_;
-        not_run_at(server);
+        exclude_server(server);
         co_return std::nullopt;
     }
-    if (head.status >= first_failure) {
+    if (head.status >= min_failure_status) {
         context_.health.record_failure(server.id);
-        co_await pass_on_failure(std::move(head));
+        co_await forward_failure(std::move(head));
         co_return std::nullopt;
     }
-    if (!said.is_signed) {
+    if (!response.is_signed) {
         log_send_failed(
             *call_, server, "unsigned", std::to_string(head.status));
         active_->cancel();
@@ -188,34 +189,34 @@
     co_return std::move(head);
 }
 
-void stream_call::not_run_at(const placement::backend_server& server)
+void stream_call::exclude_server(const placement::backend_server& server)
 {
     stop_migration();
     reserved_.reset();
     search_.exclude(server.id);
 }
 
-asio::awaitable<void> stream_call::give_up_send(upstream_failure why)
+asio::awaitable<void> stream_call::handle_send_failure(upstream_failure failure)
 {
-    if (caller_gone_)
+    if (is_caller_disconnected_)
         co_return;
     const placement::backend_server server = active_->server();
-    log_send_failed(*call_, server, "no_head", why.cause.message());
-    if (is_lost_run(why))
+    log_send_failed(*call_, server, "no_head", failure.cause.message());
+    if (is_lost_run(failure))
         record_lost_run(context_, *call_, server);
     context_.health.record_unreachable(server.id, core::monotonic_now());
-    not_run_at(server);
-    if (why.fault == upstream_fault::unreachable)
+    exclude_server(server);
+    if (failure.fault == upstream_fault::unreachable)
         co_return;
-    const bool is_late = why.fault == upstream_fault::timed_out;
+    const bool is_late = failure.fault == upstream_fault::timed_out;
     co_await refuse(
         is_late ? refusal_reason::out_of_time : refusal_reason::answer_lost);
 }
 
-asio::awaitable<void> stream_call::pass_on_failure(http::response_head head)
+asio::awaitable<void> stream_call::forward_failure(http::response_head head)
 {
     auto body = co_await active_->read_all(call_->deadline);
-    if (caller_gone_)
+    if (is_caller_disconnected_)
         co_return;
     if (!body) {
         if (is_lost_run(body.error()))
@@ -225,130 +226,132 @@
     }
     active_->release_connection();
     metrics_.finished(core::outcome::completed, core::monotonic_now());
-    http::response answer{
+    http::response response{
         head.status,
         context_.codec.returned_fields(head.fields),
         std::move(*body)};
     [[maybe_unused]] const auto sent =
-        co_await call_->exchange.respond(std::move(answer));
+        co_await call_->exchange.respond(std::move(response));
 }
 
 core::duration stream_call::idle_time(core::time_point now) const
 {
     if (last_relayed_)
         return now - *last_relayed_;
-    // A prompt takes its time to be read.
-    const core::duration due = call_->route.latency_objective;
-    return std::max(now - sent_at_ - due, core::duration::zero());
+    // The server first has to process the prompt.
+    const core::duration expected_latency = call_->route.latency_objective;
+    return std::max(now - sent_at_ - expected_latency, core::duration::zero());
 }
 
 asio::awaitable<void> stream_call::relay(http::response_head head)
 {
-    auto begun = co_await call_->exchange.start_stream(
+    auto started = co_await call_->exchange.start_stream(
         head.status, context_.codec.returned_fields(head.fields));
-    if (!begun)
+    if (!started)
         co_return;
-    while (!caller_gone_) {
+    while (!is_caller_disconnected_) {
         auto piece = co_await active_->read_some(call_->deadline);
-        if (caller_gone_)
+        if (is_caller_disconnected_)
             co_return;
         if (piece && piece->has_value()) {
-            const bool goes_on = co_await relay_events(std::move(**piece));
-            if (!goes_on)
+            const bool is_relayed = co_await relay_events(std::move(**piece));
+            if (!is_relayed)
                 co_return;
             continue;
         }
-        if (piece && splitter_.is_at_event_boundary()) {
+        if (piece && event_splitter_.is_at_event_boundary()) {
             active_->release_connection();
             stop_migration();
             context_.health.record_success(active_->server().id);
             record_completed_run(context_, *call_);
             metrics_.finished(core::outcome::completed, core::monotonic_now());
-            log_stream_completed(*call_, active_->server(), pace_);
+            log_stream_completed(*call_, active_->server(), timing_);
             [[maybe_unused]] const auto ended =
                 co_await call_->exchange.finish_stream();
             co_return;
         }
-        const auto next_head = co_await go_on_elsewhere();
+        const auto next_head = co_await resume_elsewhere();
         if (next_head)
             continue;
-        if (caller_gone_)
+        if (is_caller_disconnected_)
             co_return;
         if (!piece && is_lost_run(piece.error()))
             record_lost_run(context_, *call_, active_->server());
         context_.health.record_unreachable(
             active_->server().id, core::monotonic_now());
-        cut(piece ? "incomplete event" : piece.error().cause.message());
+        interrupt(piece ? "incomplete event" : piece.error().cause.message());
         co_return;
     }
 }
 
 asio::awaitable<bool> stream_call::relay_events(std::string bytes)
 {
-    auto events = splitter_.push(bytes);
+    auto events = event_splitter_.push(bytes);
     if (!events) {
-        cut(events.error().message());
+        interrupt(events.error().message());
         co_return false;
     }
     std::string ready;
-    const std::uint64_t events_before = pace_.events;
+    const std::uint64_t events_before = timing_.events;
     for (raw_event& event : *events) {
-        // After a resumption the server may repeat what the caller has.
-        if (event.id && pace_.events > 0 && *event.id <= last_event_)
+        // After a resumption the server may repeat events that the caller
+        // already has.
+        if (event.id && timing_.events > 0 && *event.id <= last_event_)
             continue;
         if (event.id)
             last_event_ = *event.id;
-        ++pace_.events;
+        ++timing_.events;
         ready += event.bytes;
     }
-    rhythm_.record_events(pace_.events - events_before, core::monotonic_now());
-    if (pace_.events > 0 && reserved_) {
+    event_gaps_.record_events(
+        timing_.events - events_before, core::monotonic_now());
+    if (timing_.events > 0 && reserved_) {
         reserved_->on_prefill_done();
-        reserved_->set_progress(moved_work().tokens, rhythm_.gaps());
+        reserved_->set_progress(migrated_work().tokens, event_gaps_.gaps());
     }
     if (ready.empty())
         co_return true;
-    watch_pause();
+    record_event_gap();
     consider_rebalancing();
-    co_return co_await pass_on(std::move(ready));
+    co_return co_await write_to_caller(std::move(ready));
 }
 
-asio::awaitable<bool> stream_call::pass_on(std::string ready)
+asio::awaitable<bool> stream_call::write_to_caller(std::string ready)
 {
-    const core::time_point before = core::monotonic_now();
+    const core::time_point started_at = core::monotonic_now();
     const auto written = co_await call_->exchange.write_chunk(std::move(ready));
     if (!written)
         active_->cancel();
-    if (core::monotonic_now() - before > prompt_write)
-        rhythm_.skip_next_gap();
+    if (core::monotonic_now() - started_at > slow_write_threshold)
+        event_gaps_.skip_next_gap();
     co_return written.has_value();
 }
 
-void stream_call::watch_pause()
+void stream_call::record_event_gap()
 {
     const core::time_point now = core::monotonic_now();
     const bool is_first = !last_relayed_;
-    const core::duration pause =
+    const core::duration gap =
         now - last_relayed_.value_or(call_->arrival_time);
     const core::duration objective =
         is_first ? call_->route.latency_objective : call_->route.gap_objective;
     if (is_first)
-        pace_.first = pause;
+        timing_.first_event_latency = gap;
     else
-        pace_.longest_pause = std::max(pace_.longest_pause, pause);
+        timing_.longest_gap = std::max(timing_.longest_gap, gap);
     last_relayed_ = now;
     metrics_.tokens_arrived(now);
-    if (pause > objective)
+    if (gap > objective)
         log_late_event(
             *call_,
             active_->server(),
             last_event_,
             is_first ? event_position::first : event_position::later,
-            pause,
+            gap,
             objective);
 }
 
-void stream_call::cut(std::string_view cause)
+void stream_call::interrupt(std::string_view cause)
 {
     metrics_.finished(core::outcome::interrupted, core::monotonic_now());
     log_stream_interrupted(*call_, active_->server(), cause, last_event_);
@@ -363,7 +366,7 @@
         *call_,
         metrics_,
         reason,
-        search_.plan().retry_after(core::monotonic_now()));
+        search_.policy().retry_after(core::monotonic_now()));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/stream_call_migration.cpp
+++ b/services/entry/src/stream_call_migration.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-// How a running stream goes on at another server.
+// How a running stream resumes at another server.
 
 namespace godwit::entry {
 
@@ -10,9 +10,10 @@
 
 namespace {
 
-// How long the source's stopping may take to be seen on the stream.
-constexpr core::duration stopping_limit = std::chrono::seconds(3);
-constexpr unsigned first_failure = 300;
+// How long it may take until the stream shows that the source has stopped the
+// generation.
+constexpr core::duration source_stop_timeout = std::chrono::seconds(3);
+constexpr unsigned min_failure_status = 300;
 
 } // namespace
 
@@ -20,21 +21,22 @@
 {
     return admission::generation_size::create(
         *call_->metadata.generation,
-        pace_.events * call_->service.engine->tokens_per_event);
+        timing_.events * call_->service.engine->tokens_per_event);
 }
 
-// A run that moves brings its memory along: there is nothing to read.
-placement::work_size stream_call::moved_work() const
+// A generation that migrates brings its KV cache along, so that no prompt has
+// to be processed.
+placement::work_size stream_call::migrated_work() const
 {
     if (!call_->metadata.generation || !call_->service.engine)
         return placement::work_size{.requests = 1};
     return size().migrated_work();
 }
 
-// A run that has not begun has no memory that could move.
+// A generation that has not started has no KV cache to migrate.
 std::uint64_t stream_call::tokens_left() const
 {
-    if (pace_.events == 0 || !call_->metadata.generation ||
+    if (timing_.events == 0 || !call_->metadata.generation ||
         !call_->service.engine)
         return 0;
     return size().tokens_left();
@@ -47,17 +49,17 @@
     migration_.reset();
 }
 
-void stream_call::adopt(std::shared_ptr<upstream> serving)
+void stream_call::attach_to(std::shared_ptr<upstream> server_exchange)
 {
-    leave_server();
-    active_ = std::move(serving);
+    detach_from_server();
+    active_ = std::move(server_exchange);
     context_.streams.add(active_->server().id, *this);
     is_registered_ = true;
     if (!context_.directory.is_usable(active_->server().id))
         on_server_draining();
 }
 
-void stream_call::leave_server()
+void stream_call::detach_from_server()
 {
     if (is_registered_)
         context_.streams.remove(active_->server().id, *this);
@@ -66,25 +68,27 @@
 
 void stream_call::on_server_draining()
 {
-    forget_failed_migration();
+    discard_failed_migration();
     if (migration_)
         migration_->on_server_draining();
     else
         migrate(migration_cause::server_draining);
 }
 
-// The new life knows nothing of this run: it is asked for no copy, and its
-// leaving is none of this stream's. The stream itself ends with its connection,
-// and goes on from what a copy brought elsewhere before, if there is one.
+// The restarted server does not know this generation: the stream requests no
+// copy from it and ignores it when it drains later. The stream itself ends with
+// its connection, and resumes from an earlier copy at another server, if there
+// is one.
 void stream_call::on_server_restarted()
 {
-    leave_server();
+    detach_from_server();
     if (migration_)
         migration_->on_stream_broken();
 }
 
-// One that ended with the run where it was does not keep another one off.
-void stream_call::forget_failed_migration()
+// A migration that ended with the generation still at its source must not
+// prevent another one.
+void stream_call::discard_failed_migration()
 {
     if (migration_ && migration_->is_still_at_source())
         migration_.reset();
@@ -92,12 +96,12 @@
 
 void stream_call::migrate(migration_cause cause)
 {
-    const bool can_move =
+    const bool can_migrate =
         call_->service.engine && call_->service.engine->can_migrate;
-    if (!can_move || migration_ || caller_gone_)
+    if (!can_migrate || migration_ || is_caller_disconnected_)
         return;
     migration_ = std::make_shared<migrator>(
-        context_, call_, active_, moved_work(), tokens_left(), cause);
+        context_, call_, active_, migrated_work(), tokens_left(), cause);
     migration_->start();
 }
 
@@ -106,79 +110,80 @@
     if (!call_->metadata.generation || !call_->service.engine)
         return;
     const core::time_point now = core::monotonic_now();
-    if (!rebalancing_.may_attempt(active_->server().zone, now))
+    if (!rebalancer_.may_attempt(active_->server().zone, now))
         return;
     const placement::remote_run run{
         active_->server(),
-        moved_work(),
+        migrated_work(),
         tokens_left(),
         context_.directory.last_departure(call_->service.name)};
-    if (!rebalancing_.is_due(run, now))
+    if (!rebalancer_.is_due(run, now))
         return;
-    rebalancing_.record_attempt(now);
-    forget_failed_migration();
-    const auto wanted = rebalancing_.make_request(call_->service, run.work);
-    if (context_.placer.choose(wanted, now))
+    rebalancer_.record_attempt(now);
+    discard_failed_migration();
+    const auto request = rebalancer_.make_request(call_->service, run.work);
+    if (context_.placer.choose(request, now))
         migrate(migration_cause::rebalance);
 }
 
 asio::awaitable<std::optional<http::response_head>>
-stream_call::go_on_elsewhere()
+stream_call::resume_elsewhere()
 {
     if (!migration_)
         co_return std::nullopt;
     migration_->on_stream_broken();
-    const core::time_point end = core::monotonic_now() + stopping_limit;
-    const auto moved = co_await migration_->outcome(end);
-    if (!moved || caller_gone_ || gate_.refuses(*call_))
+    const core::time_point end = core::monotonic_now() + source_stop_timeout;
+    const auto migrated = co_await migration_->outcome(end);
+    if (!migrated || is_caller_disconnected_ || gate_.refuses(*call_))
         co_return std::nullopt;
-    co_return co_await resume(*moved);
+    co_return co_await resume_at(*migrated);
 }
 
 asio::awaitable<std::optional<http::response_head>>
-stream_call::resume(migrated_run moved)
+stream_call::resume_at(migrated_run migrated)
 {
-    const core::time_point before = core::monotonic_now();
+    const core::time_point started_at = core::monotonic_now();
     const placement::backend_server source = active_->server();
-    resume_point resume_from{source.address, moved.handle, last_event_};
+    resume_point resume_from{source.address, migrated.handle, last_event_};
     auto next = std::make_shared<upstream>(
-        context_, moved.destination, call_->route.latency_objective);
+        context_, migrated.destination, call_->route.latency_objective);
     http::request outgoing =
-        request_for(moved.destination.id, std::move(resume_from));
+        request_for(migrated.destination.id, std::move(resume_from));
     reserved_.reset();
     reserved_ = std::make_unique<reservation>(
-        context_, moved.destination.id, moved_work());
-    leave_server();
+        context_, migrated.destination.id, migrated_work());
+    detach_from_server();
     active_ = next;
-    splitter_ = event_splitter();
-    rhythm_ = placement::event_gap_tracker();
+    event_splitter_ = event_splitter();
+    event_gaps_ = placement::event_gap_tracker();
     const std::string attempt_id = call_->metadata.attempt_id;
     auto head =
         co_await next->send(std::move(outgoing), attempt_id, call_->deadline);
-    const bool runs = head && head->status < first_failure;
-    std::string verdict = "resumed";
+    const bool is_running = head && head->status < min_failure_status;
+    std::string result = "resumed";
     if (!head)
-        verdict = head.error().cause.message();
-    else if (!runs)
-        verdict = "status_" + std::to_string(head->status);
+        result = head.error().cause.message();
+    else if (!is_running)
+        result = "status_" + std::to_string(head->status);
     context_.metrics
         ->counter(
             "godwit_migrations_total",
             "Running generations that went on at another server.",
             {call_->service.name,
              core::request_class_name(call_->route.name),
-             runs ? core::outcome::completed : core::outcome::interrupted})
+             is_running ? core::outcome::completed
+                        : core::outcome::interrupted})
         .Increment();
     log_migration(
         *call_,
         source,
-        moved.destination.id.value(),
-        verdict,
-        core::monotonic_now() - before);
-    if (!runs || caller_gone_)
+        migrated.destination.id.value(),
+        result,
+        core::monotonic_now() - started_at);
+    if (!is_running || is_caller_disconnected_)
         co_return std::nullopt;
     migration_.reset();
-    adopt(next);
+    attach_to(next);
     co_return std::move(*head);
 }
 
--- a/services/entry/src/stream_registry.cpp
+++ b/services/entry/src/stream_registry.cpp
@@ -43,20 +43,20 @@
 }
 
 std::vector<placement::server_id> stream_registry::unresponsive_servers(
-    core::duration span, core::time_point now) const
+    core::duration idle_limit, core::time_point now) const
 {
-    std::vector<placement::server_id> silent;
+    std::vector<placement::server_id> unresponsive;
     for (const auto& [server, streams] : streams_) {
-        const bool are_silent = std::all_of(
+        const bool all_idle = std::all_of(
             streams.begin(),
             streams.end(),
-            [span, now](const running_stream* stream) {
-                return stream->idle_time(now) >= span;
+            [idle_limit, now](const running_stream* stream) {
+                return stream->idle_time(now) >= idle_limit;
             });
-        if (are_silent)
-            silent.push_back(server);
+        if (all_idle)
+            unresponsive.push_back(server);
     }
-    return silent;
+    return unresponsive;
 }
 
 std::vector<placement::server_id> stream_registry::servers() const
