--- a/services/entry/include/godwit/entry/migration.hpp
+++ b/services/entry/include/godwit/entry/migration.hpp
@@ -8,14 +8,15 @@
 
 namespace godwit::entry {
 
-/// Whether a copy of a generation's memory is the last one.
+/// The phases of a live migration: the KV cache is copied while the generation
+/// runs, then once more after it has stopped.
 enum class copy_phase
 {
-    pre_copy,      ///< The generation goes on meanwhile.
-    stop_and_copy, ///< The generation stops first, to go on from the copy.
+    pre_copy,      ///< The generation runs during the copy.
+    stop_and_copy, ///< The generation stops first and resumes from the copy.
 };
 
-/// An order to copy the memory of a running generation.
+/// Asks a server to copy the KV cache of a running generation.
 struct copy_request
 {
     std::string attempt_id; ///< Of the request that the generation serves.
@@ -25,34 +26,34 @@
     friend bool operator==(const copy_request&, const copy_request&) = default;
 };
 
-/// How a copy ended.
+/// The outcome of a copy.
 enum class copy_status
 {
     done,
-    not_running, ///< There is no such generation at the source.
-    busy,        ///< Another copy of it is on its way.
-    refused,     ///< No room at the destination, or no way there.
-    failed,      ///< The source said something else.
-    unreachable, ///< The source did not answer.
+    not_running, ///< The source runs no such generation.
+    busy,        ///< Another copy of it is in progress.
+    refused,     ///< The destination has no capacity or cannot be reached.
+    failed,      ///< Any other response of the source.
+    unreachable, ///< The source did not respond.
 };
 
-/// The source's answer to an order.
+/// The source's response to a copy request.
 struct copy_response
 {
     copy_status status = copy_status::failed;
-    /// Names the copy at the source. Also set when a last copy was refused:
-    /// the source then keeps the stopped generation under it.
+    /// Identifies the copy at the source. Also set when a stop-and-copy was
+    /// refused: the source then keeps the stopped generation under this handle.
     std::optional<std::string> handle;
 
     friend bool
     operator==(const copy_response&, const copy_response&) = default;
 };
 
-/// Where a stopped generation goes on.
+/// Where a stopped generation resumes.
 struct resume_point
 {
     http::endpoint source;        ///< The server that ran it before.
-    std::string handle;           ///< The source's name for the copy.
+    std::string handle;           ///< Of the copy at the source.
     std::uint64_t last_event = 0; ///< The last event that the caller has.
 
     friend bool operator==(const resume_point&, const resume_point&) = default;
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -18,23 +18,22 @@
 
 namespace godwit::entry {
 
-/// A generation that stopped at its source, to go on from a copy.
+/// A generation that stopped at its source and can resume from a copy.
 struct migrated_run
 {
     placement::backend_server destination;
     std::string handle;
 };
 
-/// Why a running generation goes on elsewhere.
+/// Why a running generation migrates.
 enum class migration_cause
 {
-    server_draining, ///< It is lost otherwise: any server with room will do.
-    rebalance,       ///< It is better off in its host's zone, if there is room.
+    server_draining, ///< Lost otherwise: any server with capacity will do.
+    rebalance,       ///< Better off in its host's zone, if there is capacity.
 };
 
-/// Takes one running generation away from its server: a copy of its memory
-/// while it goes on, then a short last one, after which it has stopped. Used
-/// on one executor.
+/// Migrates one running generation to another server: copies its KV cache while
+/// it runs, then stops it for a short last copy. Used on one executor.
 class migrator : public std::enable_shared_from_this<migrator>
 {
 public:
@@ -46,84 +45,88 @@
         std::uint64_t tokens_left,
         migration_cause cause);
 
-    /// Begins.
+    /// Starts the migration.
     void start();
 
-    /// The source leaves: whatever it was begun for, the generation has to go.
+    /// The source is draining: the generation must migrate, whatever the
+    /// migration was started for.
     void on_server_draining();
 
-    /// The caller left or the generation ended by itself: frees what was
-    /// copied and ends.
+    /// Ends the migration and frees the copies, because the caller disconnected
+    /// or the generation ended.
     void stop();
 
-    /// Waits until the run has stopped for its last copy, or the migration
-    /// failed; nothing then.
+    /// Waits until the generation has stopped for its last copy. Returns
+    /// nothing if the migration failed.
     boost::asio::awaitable<std::optional<migrated_run>>
     outcome(core::time_point end);
 
-    /// Whether it ended with the generation where it was, still running.
+    /// Whether the migration ended and the generation still runs at the source.
     [[nodiscard]] bool is_still_at_source() const noexcept
     {
-        return is_settled_ && !moved_;
+        return is_finished_ && !migrated_;
     }
 
-    /// The stream ended without its last event. Unless it was stopped for
-    /// its last copy, the source died under way: then the run goes on from
-    /// what the destination holds, if it holds anything.
+    /// The stream ended without its last event. Unless the generation was
+    /// stopped for its last copy, the source died during the migration; the
+    /// generation then resumes from the last copy at the destination, if there
+    /// is one.
     void on_stream_broken() { is_broken_ = true; }
 
 private:
-    /// The most that a last copy may wait for others on the link, as the one
-    /// before it showed: longer, and callers notice the pause.
-    static constexpr core::duration short_copy = std::chrono::milliseconds(70);
-    static constexpr core::duration copy_limit = std::chrono::seconds(3);
-
-    boost::asio::awaitable<void> work();
+    /// The longest that a stop-and-copy may take, estimated by the copy before
+    /// it: callers notice a longer gap. It includes waiting for other copies on
+    /// the link.
+    static constexpr core::duration max_final_copy_time =
+        std::chrono::milliseconds(70);
+    static constexpr core::duration copy_timeout = std::chrono::seconds(3);
+
+    boost::asio::awaitable<void> run();
     /// How the copies of a running generation ended.
-    enum class copies_outcome
+    enum class pre_copy_result
     {
-        nearly_all, ///< A last copy will be short.
-        no_room,    ///< Not at this destination.
-        not_begun,  ///< The source has not begun the generation yet.
-        broken,     ///< The stream ended, or its caller left.
+        converged,   ///< A stop-and-copy will be short.
+        no_capacity, ///< This destination cannot take it.
+        not_started, ///< The source has not started the generation yet.
+        broken,      ///< The stream ended, or its caller disconnected.
     };
 
-    boost::asio::awaitable<void> take_turn();
-    void end_turn();
-    boost::asio::awaitable<void> move();
-    boost::asio::awaitable<copies_outcome> copy_while_running();
-    boost::asio::awaitable<void> copy_last();
+    boost::asio::awaitable<void> wait_for_copy_turn();
+    void end_copy_turn();
+    boost::asio::awaitable<void> migrate();
+    boost::asio::awaitable<pre_copy_result> pre_copy();
+    boost::asio::awaitable<void> stop_and_copy();
     boost::asio::awaitable<copy_response> copy(copy_phase phase);
     boost::asio::awaitable<void> wait_for_links();
-    void claim_links(core::duration hold);
+    void claim_links(core::duration duration);
 
-    [[nodiscard]] bool has_to_leave() const noexcept
+    [[nodiscard]] bool must_migrate() const noexcept
     {
         return cause_ == migration_cause::server_draining;
     }
 
-    [[nodiscard]] placement::placement_request wanted() const;
+    [[nodiscard]] placement::placement_request destination_request() const;
     [[nodiscard]] bool choose_destination();
-    void settle();
+    void finish();
     void release();
 
     entry_context& context_;
     std::shared_ptr<const routed_call> call_;
     std::shared_ptr<upstream> source_;
     placement::work_size work_;
-    double urgency_;
+    double priority_;
     migration_cause cause_;
-    placement::copy_queue::ticket turn_ = 0;
+    placement::copy_queue::ticket ticket_ = 0;
     std::optional<placement::backend_server> destination_;
     std::optional<reservation> reserved_;
-    std::vector<placement::server_id> refused_;
+    std::vector<placement::server_id> excluded_;
     std::optional<std::string> handle_;
-    std::optional<migrated_run> copied_; ///< By a copy of the running one.
-    std::optional<migrated_run> moved_;
-    core::timer settled_signal_;
-    core::time_point began_;
+    std::optional<migrated_run> pre_copied_; ///< From the last pre-copy.
+    std::optional<migrated_run> migrated_;
+    core::timer finished_signal_;
+    core::time_point started_at_;
     bool is_broken_ = false;
-    bool is_settled_ = false;
+    bool is_finished_ = false;
     bool is_stopped_ = false;
 };
 
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -19,25 +19,30 @@
 
 namespace {
 
-// While another stream of this host copies from the same server.
-constexpr core::duration turn_pause = std::chrono::milliseconds(15);
-// After an answer that a little time may change.
-constexpr core::duration retry_pause = std::chrono::milliseconds(40);
-// Further copies of a running generation, each for what came meanwhile,
-// until one is short enough to stop for.
-constexpr int most_running_copies = 4;
-// Two short copies and the way to the source and back, with some to spare.
-constexpr core::duration link_claim_span = std::chrono::milliseconds(250);
-// Claims of others that follow each other must not use up the notice.
-constexpr core::duration longest_link_wait = std::chrono::milliseconds(400);
-// Answers that say neither yes nor no before another destination is tried.
-constexpr int most_failures = 2;
-// A server that has left for this long is gone, or about to be.
-constexpr core::duration longest_leaving = std::chrono::seconds(6);
+// How often to check whether another stream of this host still copies from the
+// same server.
+constexpr core::duration copy_turn_poll_interval =
+    std::chrono::milliseconds(15);
+// Before a retry when the source or the destinations may soon answer
+// differently.
+constexpr core::duration retry_interval = std::chrono::milliseconds(40);
+// Each further copy transfers what was generated during the one before, until a
+// copy is short enough to stop the generation for it.
+constexpr int max_pre_copies = 4;
+// Covers two short copies and a round trip to the source, with some margin.
+constexpr core::duration link_claim_duration = std::chrono::milliseconds(250);
+// Consecutive claims by other hosts must not use up the time that a draining
+// server gives.
+constexpr core::duration max_link_wait = std::chrono::milliseconds(400);
+// Failed or missing responses to copy requests before another destination is
+// tried.
+constexpr int max_failures = 2;
+// A server that has been draining for this long is gone, or about to be.
+constexpr core::duration max_migration_time = std::chrono::seconds(6);
 
-std::string_view name_of(copy_status verdict)
+std::string_view name_of(copy_status status)
 {
-    switch (verdict) {
+    switch (status) {
     case copy_status::done:
         return "done";
     case copy_status::not_running:
@@ -64,160 +69,161 @@
     std::uint64_t tokens_left,
     migration_cause cause)
     : context_(context), call_(std::move(call)), source_(std::move(source)),
-      work_(work), urgency_(placement::copy_priority(tokens_left, work)),
-      cause_(cause), settled_signal_(context.executor),
-      began_(core::monotonic_now())
+      work_(work), priority_(placement::copy_priority(tokens_left, work)),
+      cause_(cause), finished_signal_(context.executor),
+      started_at_(core::monotonic_now())
 {
-    settled_signal_.expires_at(core::timer::time_point::max());
+    finished_signal_.expires_at(core::timer::time_point::max());
 }
 
 void migrator::start()
 {
-    // However it ends, others may be copied and whoever waits is told.
+    // However the migration ends, it must free its turn to copy and wake its
+    // waiter.
     spawn(
         context_.executor,
         "migration",
-        [kept = shared_from_this()]() -> asio::awaitable<void> {
-            co_await kept->work();
+        [self = shared_from_this()]() -> asio::awaitable<void> {
+            co_await self->run();
         },
-        [kept = shared_from_this()] {
-            kept->end_turn();
-            kept->settle();
+        [self = shared_from_this()] {
+            self->end_copy_turn();
+            self->finish();
         });
 }
 
 void migrator::on_server_draining()
 {
     cause_ = migration_cause::server_draining;
-    began_ = core::monotonic_now();
+    started_at_ = core::monotonic_now();
 }
 
 void migrator::stop()
 {
     is_stopped_ = true;
-    if (is_settled_)
+    if (is_finished_)
         release();
 }
 
 asio::awaitable<std::optional<migrated_run>>
 migrator::outcome(core::time_point end)
 {
-    // The stream may forget a migration that settled before its waiter goes
-    // on.
-    const auto kept = shared_from_this();
-    while (!is_settled_ && core::monotonic_now() < end) {
-        settled_signal_.expires_after(end - core::monotonic_now());
-        boost::system::error_code woken;
-        co_await settled_signal_.async_wait(
-            asio::redirect_error(asio::use_awaitable, woken));
+    // The stream may drop its reference when the migration has finished but its
+    // waiter has not resumed yet.
+    const auto self = shared_from_this();
+    while (!is_finished_ && core::monotonic_now() < end) {
+        finished_signal_.expires_after(end - core::monotonic_now());
+        boost::system::error_code error;
+        co_await finished_signal_.async_wait(
+            asio::redirect_error(asio::use_awaitable, error));
     }
-    co_return moved_;
+    co_return migrated_;
 }
 
-asio::awaitable<void> migrator::take_turn()
+asio::awaitable<void> migrator::wait_for_copy_turn()
 {
     const placement::server_id& source = source_->server().id;
-    turn_ = context_.copy_queue.enqueue(source, urgency_);
-    while (!is_stopped_ && !context_.copy_queue.try_start(source, turn_))
-        co_await async_sleep(context_.executor, turn_pause);
+    ticket_ = context_.copy_queue.enqueue(source, priority_);
+    while (!is_stopped_ && !context_.copy_queue.try_start(source, ticket_))
+        co_await async_sleep(context_.executor, copy_turn_poll_interval);
 }
 
-void migrator::end_turn()
+void migrator::end_copy_turn()
 {
-    context_.copy_queue.end(source_->server().id, turn_);
+    context_.copy_queue.end(source_->server().id, ticket_);
 }
 
-asio::awaitable<void> migrator::work()
+asio::awaitable<void> migrator::run()
 {
-    co_await take_turn();
+    co_await wait_for_copy_turn();
     if (!is_stopped_)
-        co_await move();
+        co_await migrate();
 }
 
-asio::awaitable<void> migrator::move()
+asio::awaitable<void> migrator::migrate()
 {
     while (!is_stopped_ && !is_broken_ &&
-           core::monotonic_now() - began_ < longest_leaving) {
+           core::monotonic_now() - started_at_ < max_migration_time) {
         if (!choose_destination()) {
-            if (!has_to_leave())
+            if (!must_migrate())
                 co_return;
-            co_await async_sleep(context_.executor, retry_pause);
+            co_await async_sleep(context_.executor, retry_interval);
             continue;
         }
-        const copies_outcome copied = co_await copy_while_running();
-        if (copied == copies_outcome::nearly_all && !is_stopped_) {
-            claim_links(link_claim_span);
-            co_await copy_last();
+        const pre_copy_result result = co_await pre_copy();
+        if (result == pre_copy_result::converged && !is_stopped_) {
+            claim_links(link_claim_duration);
+            co_await stop_and_copy();
             claim_links(core::duration::zero());
-            if (moved_)
+            if (migrated_)
                 co_return;
-            co_await async_sleep(context_.executor, retry_pause);
-        } else if (!has_to_leave() && !is_broken_) {
+            co_await async_sleep(context_.executor, retry_interval);
+        } else if (!must_migrate() && !is_broken_) {
             co_return;
-        } else if (copied == copies_outcome::not_begun) {
-            // Others of this host can be copied meanwhile.
-            end_turn();
-            co_await async_sleep(context_.executor, retry_pause);
-            co_await take_turn();
+        } else if (result == pre_copy_result::not_started) {
+            // Other generations of this host can be copied meanwhile.
+            end_copy_turn();
+            co_await async_sleep(context_.executor, retry_interval);
+            co_await wait_for_copy_turn();
         }
     }
-    // The last copy also tells whether the run is really gone: nobody may go
-    // on with it while it is still at work.
-    if (is_broken_ && copied_ && !is_stopped_)
-        co_await copy_last();
+    // The stop-and-copy also shows whether the generation has really ended: it
+    // must not be resumed elsewhere while it still runs.
+    if (is_broken_ && pre_copied_ && !is_stopped_)
+        co_await stop_and_copy();
 }
 
 asio::awaitable<void> migrator::wait_for_links()
 {
     const std::vector<placement::server_id> links{
         source_->server().id, destination_->id};
-    const core::time_point end = core::monotonic_now() + longest_link_wait;
+    const core::time_point end = core::monotonic_now() + max_link_wait;
     while (!is_stopped_ && core::monotonic_now() < end &&
            context_.claims.is_claimed(links, core::monotonic_now()))
-        co_await async_sleep(context_.executor, turn_pause);
+        co_await async_sleep(context_.executor, copy_turn_poll_interval);
 }
 
-void migrator::claim_links(core::duration hold)
+void migrator::claim_links(core::duration duration)
 {
     if (!context_.broadcast)
         return;
-    const auto hold_ms =
-        std::chrono::duration_cast<std::chrono::milliseconds>(hold).count();
+    const auto duration_ms =
+        std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
     context_.broadcast(wire::link_claim{
         {source_->server().id.value(), destination_->id.value()},
-        static_cast<std::uint32_t>(hold_ms)});
+        static_cast<std::uint32_t>(duration_ms)});
 }
 
-placement::placement_request migrator::wanted() const
+placement::placement_request migrator::destination_request() const
 {
-    if (!has_to_leave())
+    if (!must_migrate())
         return placement::zone_rebalancer(context_.settings.zone)
             .make_request(call_->service, work_);
-    placement::placement_request wanted;
-    wanted.service = &call_->service;
-    wanted.work = work_;
-    wanted.purpose = placement::placement_purpose::migration;
+    placement::placement_request request;
+    request.service = &call_->service;
+    request.work = work_;
+    request.purpose = placement::placement_purpose::migration;
     // A copy takes twice as long to another zone.
-    wanted.preferred_zone = source_->server().zone;
-    return wanted;
+    request.preferred_zone = source_->server().zone;
+    return request;
 }
 
 bool migrator::choose_destination()
 {
-    placement::placement_request request = wanted();
-    request.excluded = refused_;
+    placement::placement_request request = destination_request();
+    request.excluded = excluded_;
     request.excluded.push_back(source_->server().id);
     const auto found = context_.placer.choose(request, core::monotonic_now());
     if (!found) {
-        // Whoever refused a moment ago may have room now.
-        refused_.clear();
+        // Servers that refused a moment ago may have capacity now.
+        excluded_.clear();
         return false;
     }
     log_migration_chosen(
         *call_,
         source_->server(),
         *found,
-        has_to_leave() ? "server_leaves" : "rebalance");
+        must_migrate() ? "server_leaves" : "rebalance");
     destination_ = found->server;
     reserved_.reset();
     placement::work_size arriving = work_;
@@ -226,111 +232,112 @@
     return true;
 }
 
-asio::awaitable<migrator::copies_outcome> migrator::copy_while_running()
+asio::awaitable<migrator::pre_copy_result> migrator::pre_copy()
 {
     int failures = 0;
-    for (int copies = 0; copies < most_running_copies && !is_stopped_;) {
-        // The first copy is long; after it the links are needed for the
-        // short ones.
+    for (int copies = 0; copies < max_pre_copies && !is_stopped_;) {
+        // The first copy is long; after it the links are needed for the short
+        // ones.
         if (copies == 0)
             co_await wait_for_links();
         else
-            claim_links(link_claim_span);
-        const core::time_point before = core::monotonic_now();
-        const copy_response answer = co_await copy(copy_phase::pre_copy);
-        const core::duration took = core::monotonic_now() - before;
-        switch (answer.status) {
+            claim_links(link_claim_duration);
+        const core::time_point started_at = core::monotonic_now();
+        const copy_response response = co_await copy(copy_phase::pre_copy);
+        const core::duration elapsed = core::monotonic_now() - started_at;
+        switch (response.status) {
         case copy_status::done:
             ++copies;
             reserved_->on_kv_cache_received();
-            if (answer.handle)
-                copied_ = migrated_run{*destination_, *answer.handle};
+            if (response.handle)
+                pre_copied_ = migrated_run{*destination_, *response.handle};
             if (is_broken_)
-                co_return copies_outcome::broken;
-            if (took <= short_copy || copies == most_running_copies)
-                co_return copies_outcome::nearly_all;
+                co_return pre_copy_result::broken;
+            if (elapsed <= max_final_copy_time || copies == max_pre_copies)
+                co_return pre_copy_result::converged;
             break;
         case copy_status::refused:
-            refused_.push_back(destination_->id);
-            co_return copies_outcome::no_room;
+            excluded_.push_back(destination_->id);
+            co_return pre_copy_result::no_capacity;
         case copy_status::not_running:
-            co_return copies_outcome::not_begun;
+            co_return pre_copy_result::not_started;
         case copy_status::failed:
         case copy_status::unreachable:
-            if (++failures >= most_failures) {
-                refused_.push_back(destination_->id);
-                co_return copies_outcome::no_room;
+            if (++failures >= max_failures) {
+                excluded_.push_back(destination_->id);
+                co_return pre_copy_result::no_capacity;
             }
             [[fallthrough]];
         case copy_status::busy:
-            co_await async_sleep(context_.executor, retry_pause);
-            if (is_broken_ || core::monotonic_now() - began_ > longest_leaving)
-                co_return copies_outcome::broken;
+            co_await async_sleep(context_.executor, retry_interval);
+            if (is_broken_ ||
+                core::monotonic_now() - started_at_ > max_migration_time)
+                co_return pre_copy_result::broken;
             break;
         }
     }
-    co_return copies_outcome::broken;
+    co_return pre_copy_result::broken;
 }
 
-asio::awaitable<void> migrator::copy_last()
+asio::awaitable<void> migrator::stop_and_copy()
 {
-    const copy_response answer = co_await copy(copy_phase::stop_and_copy);
-    if (answer.status == copy_status::done && answer.handle) {
-        moved_ = migrated_run{*destination_, *answer.handle};
+    const copy_response response = co_await copy(copy_phase::stop_and_copy);
+    if (response.status == copy_status::done && response.handle) {
+        migrated_ = migrated_run{*destination_, *response.handle};
         co_return;
     }
-    if (answer.status == copy_status::refused && answer.handle) {
-        // The run stopped, and its memory stayed where it was.
-        moved_ = migrated_run{source_->server(), *answer.handle};
+    if (response.status == copy_status::refused && response.handle) {
+        // The generation stopped, and its KV cache stayed at the source.
+        migrated_ = migrated_run{source_->server(), *response.handle};
         co_return;
     }
-    // No run there, or no source: what was copied while it ran is all there
-    // is. The destination reads again what came later.
-    const bool is_gone = answer.status == copy_status::not_running ||
-                         answer.status == copy_status::unreachable;
+    // The generation or its source is gone, so that only the pre-copies are
+    // left. The destination prefills again what was generated after them.
+    const bool is_gone = response.status == copy_status::not_running ||
+                         response.status == copy_status::unreachable;
     if (is_broken_ && is_gone)
-        moved_ = copied_;
+        migrated_ = pre_copied_;
 }
 
 asio::awaitable<copy_response> migrator::copy(copy_phase phase)
 {
-    copy_request order{
+    copy_request request{
         call_->metadata.attempt_id, destination_->address, phase};
-    http::request outgoing = context_.codec.write_copy_request(order);
-    const http::fetch_limits limits{.deadline = copy_limit};
-    const core::time_point before = core::monotonic_now();
-    const auto answered = co_await http::fetch(
+    http::request outgoing = context_.codec.write_copy_request(request);
+    const http::fetch_limits limits{.deadline = copy_timeout};
+    const core::time_point started_at = core::monotonic_now();
+    const auto fetched = co_await http::fetch(
         *context_.connections,
         source_->server().address,
         std::move(outgoing),
         limits);
-    copy_response answer;
-    answer.status = copy_status::unreachable;
-    if (answered)
-        answer = context_.codec.read_copy_response(*answered);
-    if (answer.handle)
-        handle_ = answer.handle;
+    copy_response response;
+    response.status = copy_status::unreachable;
+    if (fetched)
+        response = context_.codec.read_copy_response(*fetched);
+    if (response.handle)
+        handle_ = response.handle;
     log_migration(
         *call_,
         source_->server(),
         destination_->id.value(),
-        std::string(name_of(answer.status)) +
+        std::string(name_of(response.status)) +
             (phase == copy_phase::stop_and_copy ? "_last_" : "_running_") +
-            (answered ? std::to_string(answered->status)
-                      : answered.error().cause.message()),
-        core::monotonic_now() - before);
-    co_return answer;
+            (fetched ? std::to_string(fetched->status)
+                     : fetched.error().cause.message()),
+        core::monotonic_now() - started_at);
+    co_return response;
 }
 
-void migrator::settle()
+void migrator::finish()
 {
-    is_settled_ = true;
-    settled_signal_.cancel();
-    if (is_stopped_ || !moved_)
+    is_finished_ = true;
+    finished_signal_.cancel();
+    if (is_stopped_ || !migrated_)
         release();
 }
 
-// A copy that nobody goes on from would hold memory at both servers.
+// A copy that no generation resumes from would hold memory at both servers.
 void migrator::release()
 {
     reserved_.reset();
@@ -344,8 +351,9 @@
          handle =
              *std::exchange(handle_, std::nullopt)]() -> asio::awaitable<void> {
             http::request outgoing = context.codec.write_copy_release(handle);
-            const http::fetch_limits limits{.deadline = copy_limit};
-            // The server frees the copy by itself some seconds later.
+            const http::fetch_limits limits{.deadline = copy_timeout};
+            // If this fails, the server frees the copy by itself some seconds
+            // later.
             [[maybe_unused]] const auto freed = co_await http::fetch(
                 *context.connections, source, std::move(outgoing), limits);
         });
