--- a/services/entry/include/godwit/entry/async_sleep.hpp
+++ b/services/entry/include/godwit/entry/async_sleep.hpp
@@ -7,8 +7,8 @@
 
 namespace godwit::entry {
 
-/// Lets the coroutine go on after so long.
+/// Suspends the coroutine for `duration`.
 boost::asio::awaitable<void>
-async_sleep(boost::asio::any_io_executor executor, core::duration span);
+async_sleep(boost::asio::any_io_executor executor, core::duration duration);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/capacity_search.hpp
+++ b/services/entry/include/godwit/entry/capacity_search.hpp
@@ -18,18 +18,18 @@
 
 namespace godwit::entry {
 
-/// A server that a stream may be sent to.
+/// A server with capacity for a stream.
 struct found_capacity
 {
     placement::backend_server server;
-    /// The stream's entry in the ledger of work.
+    /// The stream's entry in the load ledger.
     std::unique_ptr<reservation> reserved;
-    /// Names the room that the server keeps, where servers do.
+    /// Handle of the hold at the server, if its servers support holds.
     std::optional<std::string> hold;
 };
 
-/// Waits in the line until a server has room for one stream, as its waiting
-/// plan says. Used on one executor.
+/// Queues until a server has capacity for one stream, as the stream's wait
+/// policy says. Used on one executor.
 class capacity_search
 {
 public:
@@ -39,40 +39,41 @@
     capacity_search(const capacity_search&) = delete;
     capacity_search& operator=(const capacity_search&) = delete;
 
-    /// The next server; nothing when the request is to be turned away, or
-    /// when the search was stopped.
+    /// Waits for the next server. Returns nothing if the request is to be
+    /// refused, or if the search was stopped.
     boost::asio::awaitable<std::optional<found_capacity>> next();
 
-    /// The server did not take the request; it is not asked again.
+    /// Excludes a server that did not take the request.
     void exclude(const placement::server_id& server);
 
-    /// The caller left.
+    /// Ends the search because the caller disconnected.
     void stop();
 
-    [[nodiscard]] const admission::wait_policy& plan() const noexcept
+    [[nodiscard]] const admission::wait_policy& policy() const noexcept
     {
-        return plan_;
+        return wait_policy_;
     }
 
 private:
-    boost::asio::awaitable<std::optional<placement::placement_choice>> place();
     boost::asio::awaitable<std::optional<placement::placement_choice>>
-    place_in_stage(admission::wait_stage stage);
+    choose_server();
+    boost::asio::awaitable<std::optional<placement::placement_choice>>
+    choose_server_in_stage(admission::wait_stage stage);
     boost::asio::awaitable<std::optional<found_capacity>>
-    keep_room(placement::placement_choice choice);
+    hold_capacity(placement::placement_choice choice);
     [[nodiscard]] placement::placement_request
-    wanted(admission::wait_stage stage) const;
+    placement_request_in(admission::wait_stage stage) const;
 
     entry_context& context_;
     std::shared_ptr<const routed_call> call_;
-    admission::wait_policy plan_;
+    admission::wait_policy wait_policy_;
     std::optional<admission::generation_size> size_;
     std::vector<placement::server_id> excluded_;
-    wait_queue::waiter* waiting_ = nullptr;
+    wait_queue::waiter* waiter_ = nullptr;
     bool is_stopped_ = false;
 };
 
-/// Whether the service's servers keep room for requests that come next.
+/// Whether the service's servers grant holds.
 [[nodiscard]] bool supports_holds(const routed_call& call);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/hold.hpp
+++ b/services/entry/include/godwit/entry/hold.hpp
@@ -8,29 +8,29 @@
 
 namespace godwit::entry {
 
-/// Asks a server to keep a slot and memory free for a request.
+/// Asks a server to reserve a slot and memory for a request.
 struct hold_request
 {
     std::uint64_t tokens = 0;
-    core::duration lifetime{}; ///< An unused hold ends by itself after this.
+    core::duration lifetime{}; ///< An unused hold expires after this time.
 
     friend bool operator==(const hold_request&, const hold_request&) = default;
 };
 
-/// How a server answered.
+/// The outcome of a hold request.
 enum class hold_status
 {
     granted,
-    refused,     ///< It has no room.
-    failed,      ///< It said something else.
-    unreachable, ///< It did not answer.
+    refused,     ///< The server has no free capacity.
+    failed,      ///< Any other response.
+    unreachable, ///< The server did not respond.
 };
 
-/// A server's answer to an order.
+/// A server's response to a hold request.
 struct hold_response
 {
     hold_status status = hold_status::failed;
-    std::optional<std::string> handle; ///< Of a hold that was granted.
+    std::optional<std::string> handle; ///< Of a granted hold.
 
     friend bool
     operator==(const hold_response&, const hold_response&) = default;
--- a/services/entry/include/godwit/entry/reservation.hpp
+++ b/services/entry/include/godwit/entry/reservation.hpp
@@ -8,7 +8,7 @@
 
 namespace godwit::entry {
 
-/// Work that this host has at a backend server, entered in the ledger for
+/// Load that this host puts on a backend server. Counted in the load ledger for
 /// as long as the object lives.
 class reservation
 {
@@ -22,13 +22,13 @@
     reservation(const reservation&) = delete;
     reservation& operator=(const reservation&) = delete;
 
-    /// The prompt has been read.
+    /// The server has processed the prompt.
     void on_prefill_done();
 
-    /// Its memory came over the server's link.
+    /// The KV cache has arrived over the server's link.
     void on_kv_cache_received();
 
-    /// The run takes this much memory now, and its events come like this.
+    /// Updates the memory that the run takes and the gaps between its events.
     void set_progress(std::uint64_t tokens, placement::event_gaps gaps);
 
 private:
--- a/services/entry/include/godwit/entry/retry_budgets.hpp
+++ b/services/entry/include/godwit/entry/retry_budgets.hpp
@@ -11,25 +11,25 @@
 namespace godwit::entry {
 
 /// This host's part of each service's retry budget. The allowance beyond the
-/// share of requests is divided by the number of hosts, so that the parts
-/// never exceed the whole, also when hosts cannot hear each other.
+/// share of requests is divided by the number of hosts, so that the parts never
+/// exceed the whole, not even while hosts are cut off from each other.
 class retry_budgets
 {
 public:
     explicit retry_budgets(const entry_settings& settings);
 
-    /// How many hosts share the allowance; it only grows, since a host that
-    /// is not heard may still serve.
+    /// Sets how many hosts share the allowance. The number only grows, since a
+    /// host that cannot be reached may still serve.
     void set_host_count(std::size_t hosts);
 
-    /// Other shares and allowances from now on.
+    /// Takes over changed shares and allowances.
     void update_settings(const entry_settings& settings);
 
-    /// A first attempt at the service starts.
+    /// Counts a first attempt at the service.
     void record_first_attempt(
         const core::service_name& service, core::time_point now);
 
-    /// Whether one more repeat may start; takes it from the budget if so.
+    /// Whether one more retry may start; takes it from the budget if so.
     [[nodiscard]] bool
     try_spend(const core::service_name& service, core::time_point now);
 
--- a/services/entry/include/godwit/entry/server_hold.hpp
+++ b/services/entry/include/godwit/entry/server_hold.hpp
@@ -12,15 +12,15 @@
 
 namespace godwit::entry {
 
-/// Asks the server to keep room for the call, and logs what it said. The
-/// arguments live until it is done.
+/// Requests a hold for the call and logs a failure. The arguments must outlive
+/// the coroutine.
 boost::asio::awaitable<hold_response> acquire_hold(
     entry_context& context,
     const routed_call& call,
     const placement::backend_server& server,
     std::uint64_t tokens);
 
-/// Gives back a hold that was not used, without waiting for the answer.
+/// Releases an unused hold, without waiting for the response.
 void release_hold(
     entry_context& context,
     const placement::backend_server& server,
--- a/services/entry/include/godwit/entry/spawn.hpp
+++ b/services/entry/include/godwit/entry/spawn.hpp
@@ -8,23 +8,23 @@
 
 namespace godwit::entry {
 
-/// Makes a coroutine and begins it.
+/// Creates a coroutine.
 using coroutine_factory = std::function<boost::asio::awaitable<void>()>;
 
-/// Runs a coroutine on its own. An exception ends it alone and is logged
-/// under `name`. `at_end` is called however it ended; it may be empty.
+/// Runs a detached coroutine. An exception ends only this coroutine and is
+/// logged under `name`. `on_end` is called in either case; it may be empty.
 void spawn(
     const boost::asio::any_io_executor& executor,
     std::string name,
-    coroutine_factory begin,
-    std::function<void()> at_end = {});
+    coroutine_factory factory,
+    std::function<void()> on_end = {});
 
-/// Runs a coroutine that the host lives by: after an exception, which is
-/// logged under `name`, it begins again a moment later. One that returns is
-/// done.
+/// Runs a coroutine that the host cannot do without: after an exception, which
+/// is logged under `name`, it is restarted a moment later. It is not restarted
+/// after it returns.
 void spawn_with_restart(
     const boost::asio::any_io_executor& executor,
     std::string name,
-    coroutine_factory begin);
+    coroutine_factory factory);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/upstream.hpp
+++ b/services/entry/include/godwit/entry/upstream.hpp
@@ -20,15 +20,15 @@
 
 namespace godwit::entry {
 
-/// Why a backend server gave no answer.
+/// Why a backend server gave no response.
 enum class upstream_fault
 {
-    unreachable, ///< Not a byte was handed over: it has not run.
+    unreachable, ///< No byte was sent: it has not run.
     lost,        ///< The connection broke; it may have run.
-    timed_out,   ///< No answer in time; it may have run.
+    timed_out,   ///< No response in time; it may have run.
 };
 
-/// An exchange with a backend server that failed.
+/// A failed exchange with a backend server.
 struct upstream_failure
 {
     upstream_fault fault = upstream_fault::lost;
@@ -38,12 +38,11 @@
 template<class Value>
 using upstream_result = tl::expected<Value, upstream_failure>;
 
-/// One request at one backend server. Used on one executor.
+/// One request to one backend server. Used on one executor.
 class upstream
 {
 public:
-    /// A server that takes longer to accept a connection is passed over; the
-    /// longest and the shortest limit.
+    /// Bounds of the connect timeout, after which another server is tried.
     static constexpr core::duration max_connect_timeout =
         std::chrono::milliseconds(400);
     static constexpr core::duration min_connect_timeout =
@@ -61,33 +60,33 @@
         return server_;
     }
 
-    /// Sends the request and waits for the head of its own answer until
-    /// `end`; answers to other requests are passed over.
+    /// Sends the request and waits for the head of its own response until
+    /// `end`; skips responses to other requests.
     boost::asio::awaitable<upstream_result<http::response_head>>
     send(http::request outgoing, std::string attempt_id, core::time_point end);
 
-    /// The next bytes of the body, or nothing at its end.
+    /// Returns the next bytes of the body, or nothing at its end.
     boost::asio::awaitable<upstream_result<std::optional<std::string>>>
     read_some(core::time_point end);
 
-    /// The whole body.
+    /// Returns the whole body.
     boost::asio::awaitable<upstream_result<std::string>>
     read_all(core::time_point end);
 
-    /// Breaks the connection; a server drops the request then.
+    /// Closes the connection, which makes the server drop the request.
     void cancel() noexcept;
 
-    /// Keeps the connection for others if the exchange ended whole.
+    /// Returns the connection to the pool if the exchange is complete.
     void release_connection();
 
 private:
     boost::asio::awaitable<upstream_result<void>> connect(core::time_point end);
     boost::asio::awaitable<upstream_result<http::response_head>>
-    read_own_head(std::string attempt_id, core::time_point end);
+    read_matching_head(std::string attempt_id, core::time_point end);
 
     entry_context& context_;
     placement::backend_server server_;
-    core::duration connect_limit_;
+    core::duration connect_timeout_;
     std::optional<http::client_stream> stream_;
     core::time_point sent_at_{};
     bool is_cancelled_ = false;
--- a/services/entry/include/godwit/entry/wait_queue.hpp
+++ b/services/entry/include/godwit/entry/wait_queue.hpp
@@ -13,12 +13,12 @@
 
 namespace godwit::entry {
 
-/// Requests that wait for room at the backend servers, the most urgent and
-/// then the oldest first. Used on one executor.
+/// Requests that wait for capacity at the backend servers, ordered by priority
+/// and then by age, oldest first. Used on one executor.
 class wait_queue
 {
 public:
-    /// One request's place; it is given up with the object.
+    /// One waiting request; leaves the queue on destruction.
     class waiter
     {
     public:
@@ -34,7 +34,7 @@
         /// Waits until it is this request's turn, or until `end`.
         boost::asio::awaitable<void> wait_turn(core::time_point end);
 
-        /// Ends the waiting at once.
+        /// Ends the wait at once.
         void cancel();
 
     private:
@@ -45,17 +45,18 @@
         core::timer timer_;
     };
 
-    /// Lets the first request try; the others follow as each leaves.
+    /// Wakes the first request; each of the others is woken when the one before
+    /// it leaves the queue.
     void wake_first();
 
     [[nodiscard]] std::size_t size() const noexcept { return waiters_.size(); }
 
-    /// Whether a request of `priority` would stand behind another one.
+    /// Whether a request of `priority` would queue behind another one.
     [[nodiscard]] bool has_waiter_ahead_of(int priority) const noexcept;
 
 private:
     std::map<std::pair<int, std::uint64_t>, waiter*> waiters_;
-    std::uint64_t next_ = 0;
+    std::uint64_t next_sequence_ = 0;
 };
 
 } // namespace godwit::entry
--- a/services/entry/src/async_sleep.cpp
+++ b/services/entry/src/async_sleep.cpp
@@ -9,11 +9,11 @@
 namespace asio = boost::asio;
 
 asio::awaitable<void>
-async_sleep(asio::any_io_executor executor, core::duration span)
+async_sleep(asio::any_io_executor executor, core::duration duration)
 {
-    core::timer timer(executor, span);
-    boost::system::error_code ended;
-    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ended));
+    core::timer timer(executor, duration);
+    boost::system::error_code error;
+    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/retry_budgets.cpp
+++ b/services/entry/src/retry_budgets.cpp
@@ -9,24 +9,25 @@
 namespace {
 
 // What is saved up and what accrues may both be spent within one window.
-constexpr double parts_of_allowance = 2.0;
-// Requests are counted where they arrive, repeats a little later.
-constexpr double share_in_use = 0.8;
-// Without a word from others a host assumes a small fleet.
-constexpr std::size_t fewest_hosts = 6;
+constexpr double allowance_divisor = 2.0;
+// Requests are counted when they arrive, retries a little later.
+constexpr double share_factor = 0.8;
+// A host that knows no other host yet assumes a small fleet.
+constexpr std::size_t min_hosts = 6;
 
 } // namespace
 
 retry_budgets::retry_budgets(const entry_settings& settings)
-    : share_(settings.retry_share * share_in_use),
+    : share_(settings.retry_share * share_factor),
       allowance_(settings.retry_allowance), window_(settings.retry_window),
-      hosts_(fewest_hosts)
+      hosts_(min_hosts)
 {}
 
-// Balances begin anew: what the old terms had saved up is not spent on top.
+// Balances start anew: what was saved up under the old settings is not spent on
+// top.
 void retry_budgets::update_settings(const entry_settings& settings)
 {
-    share_ = settings.retry_share * share_in_use;
+    share_ = settings.retry_share * share_factor;
     allowance_ = settings.retry_allowance;
     window_ = settings.retry_window;
     budgets_.clear();
@@ -37,7 +38,8 @@
     if (hosts <= hosts_)
         return;
     hosts_ = hosts;
-    // The next use makes them anew with the smaller part.
+    // The next use creates the budgets again, with a smaller part of the
+    // allowance.
     budgets_.clear();
 }
 
@@ -48,14 +50,14 @@
     if (found != budgets_.end())
         return found->second;
     const double part =
-        allowance_ / (parts_of_allowance * static_cast<double>(hosts_));
+        allowance_ / (allowance_divisor * static_cast<double>(hosts_));
     const double seconds = std::chrono::duration<double>(window_).count();
     request::retry_budget_settings settings;
     settings.share = share_;
     settings.capacity = std::max(part, 1.0);
     settings.floor_per_second = part / seconds;
     auto budget = request::retry_budget::create(settings, now);
-    // The settings' ranges leave nothing that it refuses.
+    // `create` accepts all values within the settings' ranges.
     assert(budget);
     return budgets_.emplace(service, *budget).first->second;
 }
--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// The answer takes no work of the server's. One that is silent for longer
-// cannot be reached, and another one still can in time.
-constexpr core::duration answer_limit = std::chrono::milliseconds(250);
-// The request follows at once. What a hold has beyond the request's need, or
-// all of it when the request's host dies, stays taken until the hold ends.
-constexpr core::duration hold_span = std::chrono::milliseconds(400);
+// Responding costs a server no work. One that takes longer counts as
+// unreachable, while another can still be in time.
+constexpr core::duration response_timeout = std::chrono::milliseconds(250);
+// The request follows at once. Capacity beyond the request's need stays
+// reserved until the hold expires, and so does all of it if the request's host
+// dies.
+constexpr core::duration hold_lifetime = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -29,25 +30,26 @@
     const placement::backend_server& server,
     std::uint64_t tokens)
 {
-    const hold_request order{
-        tokens, std::min(hold_span, call.service.engine->max_hold)};
-    http::request outgoing = context.codec.write_hold_request(order);
+    const hold_request request{
+        tokens, std::min(hold_lifetime, call.service.engine->max_hold)};
+    http::request outgoing = context.codec.write_hold_request(request);
     const core::duration left = call.deadline - core::monotonic_now();
-    const http::fetch_limits limits{.deadline = std::min(answer_limit, left)};
-    const auto answered = co_await http::fetch(
+    const http::fetch_limits limits{
+        .deadline = std::min(response_timeout, left)};
+    const auto fetched = co_await http::fetch(
         *context.connections, server.address, std::move(outgoing), limits);
-    hold_response answer;
-    answer.status = hold_status::unreachable;
-    if (answered)
-        answer = context.codec.read_hold_response(*answered);
-    if (answer.status != hold_status::granted)
+    hold_response response;
+    response.status = hold_status::unreachable;
+    if (fetched)
+        response = context.codec.read_hold_response(*fetched);
+    if (response.status != hold_status::granted)
         log_hold_failed(
             call,
             server,
             tokens,
-            answered ? std::to_string(answered->status)
-                     : answered.error().cause.message());
-    co_return answer;
+            fetched ? std::to_string(fetched->status)
+                    : fetched.error().cause.message());
+    co_return response;
 }
 
 void release_hold(
@@ -62,8 +64,8 @@
          address = server.address,
          handle = std::move(handle)]() -> asio::awaitable<void> {
             http::request outgoing = context.codec.write_hold_release(handle);
-            const http::fetch_limits limits{.deadline = answer_limit};
-            // Otherwise the hold ends by itself.
+            const http::fetch_limits limits{.deadline = response_timeout};
+            // If this fails, the hold expires by itself.
             [[maybe_unused]] const auto freed = co_await http::fetch(
                 *context.connections, address, std::move(outgoing), limits);
         });
--- a/services/entry/src/spawn.cpp
+++ b/services/entry/src/spawn.cpp
@@ -17,21 +17,21 @@
 
 namespace {
 
-// One that fails at once each time must not keep the processor busy.
-constexpr core::duration restart_pause = std::chrono::seconds(1);
+// A coroutine that fails at once each time must not keep the processor busy.
+constexpr core::duration restart_delay = std::chrono::seconds(1);
 
-std::string text_of(const std::exception_ptr& failure)
+std::string message_of(const std::exception_ptr& failure)
 {
     try {
         std::rethrow_exception(failure);
     } catch (const std::exception& known) {
         return known.what();
     } catch (...) {
-        return "no standard exception";
+        return "unknown exception";
     }
 }
 
-// Without this line nobody would see that something has ended: asio's
+// Without this log line nothing would show that the coroutine ended: asio's
 // `detached` drops the exception.
 void log_failed(const std::string& name, const std::exception_ptr& failure)
 {
@@ -39,23 +39,23 @@
         telemetry::log_level::error,
         "entry",
         "coroutine_failed",
-        {{"name", name}, {"cause", text_of(failure)}});
+        {{"name", name}, {"cause", message_of(failure)}});
 }
 
-asio::awaitable<void> run_on(
-    asio::any_io_executor executor, std::string name, coroutine_factory begin)
+asio::awaitable<void> run_until_returned(
+    asio::any_io_executor executor, std::string name, coroutine_factory factory)
 {
     while (true) {
         std::exception_ptr failure;
         try {
-            co_await begin();
+            co_await factory();
         } catch (...) {
             failure = std::current_exception();
         }
         if (!failure)
             co_return;
         log_failed(name, failure);
-        co_await async_sleep(executor, restart_pause);
+        co_await async_sleep(executor, restart_delay);
     }
 }
 
@@ -64,29 +64,29 @@
 void spawn(
     const asio::any_io_executor& executor,
     std::string name,
-    coroutine_factory begin,
-    std::function<void()> at_end)
+    coroutine_factory factory,
+    std::function<void()> on_end)
 {
     asio::co_spawn(
         executor,
-        std::move(begin),
+        std::move(factory),
         [name = std::move(name),
-         at_end = std::move(at_end)](const std::exception_ptr& failure) {
+         on_end = std::move(on_end)](const std::exception_ptr& failure) {
             if (failure)
                 log_failed(name, failure);
-            if (at_end)
-                at_end();
+            if (on_end)
+                on_end();
         });
 }
 
 void spawn_with_restart(
     const asio::any_io_executor& executor,
     std::string name,
-    coroutine_factory begin)
+    coroutine_factory factory)
 {
     asio::co_spawn(
         executor,
-        run_on(executor, std::move(name), std::move(begin)),
+        run_until_returned(executor, std::move(name), std::move(factory)),
         asio::detached);
 }
 
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -11,38 +11,39 @@
 
 namespace {
 
-// A server that answers one request twice sends the second answer where the
-// next one is expected. More than a few in a row are a broken server.
-constexpr int most_stray_answers = 3;
-// Of the latency objective: half of it may go into an attempt to connect.
-constexpr int connect_part = 2;
-constexpr std::size_t largest_body = std::size_t{16} * 1024 * 1024;
-
-core::duration left_until(core::time_point end)
+// A server that responds to one request twice sends the second response where
+// the next one is expected. More than a few in a row mean that the server is
+// broken.
+constexpr int max_stray_responses = 3;
+// A connection attempt may use up half of the latency objective.
+constexpr int connect_timeout_divisor = 2;
+constexpr std::size_t max_body_bytes = std::size_t{16} * 1024 * 1024;
+
+core::duration time_until(core::time_point end)
 {
     return std::max(
         end - core::monotonic_now(),
         core::duration(std::chrono::milliseconds(1)));
 }
 
-upstream_failure to_failure(const http::client_error& why)
+upstream_failure to_failure(const http::client_error& error)
 {
     upstream_fault fault = upstream_fault::lost;
-    if (why.handed_over == http::bytes_handed_over::none)
+    if (error.handed_over == http::bytes_handed_over::none)
         fault = upstream_fault::unreachable;
-    else if (why.cause.kind() == core::error_kind::timeout)
+    else if (error.cause.kind() == core::error_kind::timeout)
         fault = upstream_fault::timed_out;
-    return upstream_failure{fault, why.cause};
+    return upstream_failure{fault, error.cause};
 }
 
-upstream_failure spoiled(std::string what)
+upstream_failure invalid_response(std::string what)
 {
     return upstream_failure{
         upstream_fault::lost,
         core::error(
             core::error_kind::protocol,
             std::move(what),
-            "look at the backend server; its connection was closed")};
+            "check the backend server; its connection was closed")};
 }
 
 } // namespace
@@ -52,8 +53,10 @@
     placement::backend_server server,
     core::duration objective)
     : context_(context), server_(std::move(server)),
-      connect_limit_(std::clamp(
-          objective / connect_part, min_connect_timeout, max_connect_timeout))
+      connect_timeout_(std::clamp(
+          objective / connect_timeout_divisor,
+          min_connect_timeout,
+          max_connect_timeout))
 {}
 
 asio::awaitable<upstream_result<void>> upstream::connect(core::time_point end)
@@ -63,7 +66,7 @@
         co_return upstream_result<void>();
     stream_ = http::client_stream::create(context_.executor);
     const auto connected = co_await stream_->connect(
-        server_.address, std::min(left_until(end), connect_limit_));
+        server_.address, std::min(time_until(end), connect_timeout_));
     if (!connected)
         co_return tl::unexpected(to_failure(connected.error()));
     co_return upstream_result<void>();
@@ -81,43 +84,43 @@
             upstream_fault::unreachable,
             core::error(
                 core::error_kind::unavailable,
-                "the caller left while a connection was made",
+                "the caller disconnected during the connection attempt",
                 "nothing; the request was not sent")});
     }
     sent_at_ = core::monotonic_now();
     record_request(context_, server_.id);
     const auto sent =
-        co_await stream_->send(std::move(outgoing), left_until(end));
+        co_await stream_->send(std::move(outgoing), time_until(end));
     if (!sent)
         co_return tl::unexpected(to_failure(sent.error()));
-    co_return co_await read_own_head(std::move(attempt_id), end);
+    co_return co_await read_matching_head(std::move(attempt_id), end);
 }
 
 asio::awaitable<upstream_result<http::response_head>>
-upstream::read_own_head(std::string attempt_id, core::time_point end)
+upstream::read_matching_head(std::string attempt_id, core::time_point end)
 {
-    for (int stray = 0; stray < most_stray_answers; ++stray) {
-        auto head = co_await stream_->read_head(left_until(end));
+    for (int stray = 0; stray < max_stray_responses; ++stray) {
+        auto head = co_await stream_->read_head(time_until(end));
         if (!head)
             co_return tl::unexpected(to_failure(head.error()));
-        const response_metadata said =
+        const response_metadata response =
             context_.codec.read_response_metadata(head->fields);
-        if (said.attempt_id.empty() || said.attempt_id == attempt_id) {
-            update_limit(context_, server_, said, sent_at_);
+        if (response.attempt_id.empty() || response.attempt_id == attempt_id) {
+            update_limit(context_, server_, response, sent_at_);
             co_return std::move(*head);
         }
-        const auto passed_over = co_await read_all(end);
-        if (!passed_over)
-            co_return tl::unexpected(passed_over.error());
+        const auto discarded = co_await read_all(end);
+        if (!discarded)
+            co_return tl::unexpected(discarded.error());
     }
-    co_return tl::unexpected(
-        spoiled(server_.address.to_string() + " answered other requests"));
+    co_return tl::unexpected(invalid_response(
+        server_.address.to_string() + " responded to other requests"));
 }
 
 asio::awaitable<upstream_result<std::optional<std::string>>>
 upstream::read_some(core::time_point end)
 {
-    auto piece = co_await stream_->read_some(left_until(end));
+    auto piece = co_await stream_->read_some(time_until(end));
     if (!piece)
         co_return tl::unexpected(to_failure(piece.error()));
     co_return std::move(*piece);
@@ -134,10 +137,11 @@
         if (!piece->has_value())
             co_return body;
         body += **piece;
-        if (body.size() > largest_body)
-            co_return tl::unexpected(spoiled(
-                "the answer of " + server_.address.to_string() +
-                " is larger than " + std::to_string(largest_body) + " bytes"));
+        if (body.size() > max_body_bytes)
+            co_return tl::unexpected(invalid_response(
+                "the response of " + server_.address.to_string() +
+                " is larger than " + std::to_string(max_body_bytes) +
+                " bytes"));
     }
 }
 
--- a/services/entry/src/wait_queue.cpp
+++ b/services/entry/src/wait_queue.cpp
@@ -11,7 +11,7 @@
 
 wait_queue::waiter::waiter(
     wait_queue& queue, const asio::any_io_executor& executor, int priority)
-    : queue_(queue), key_(priority, queue.next_++), timer_(executor)
+    : queue_(queue), key_(priority, queue.next_sequence_++), timer_(executor)
 {
     queue_.waiters_.emplace(key_, this);
 }
@@ -19,18 +19,18 @@
 wait_queue::waiter::~waiter()
 {
     queue_.waiters_.erase(key_);
-    // Whoever stood behind may find room, too.
+    // The next request may find capacity, too.
     queue_.wake_first();
 }
 
 asio::awaitable<void> wait_queue::waiter::wait_turn(core::time_point end)
 {
-    const core::duration left =
+    const core::duration remaining =
         std::max(end - core::monotonic_now(), core::duration::zero());
-    timer_.expires_after(left);
-    boost::system::error_code woken;
+    timer_.expires_after(remaining);
+    boost::system::error_code error;
     co_await timer_.async_wait(
-        asio::redirect_error(asio::use_awaitable, woken));
+        asio::redirect_error(asio::use_awaitable, error));
 }
 
 void wait_queue::waiter::cancel()
