--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -1,9 +1,12 @@
-// A migration runs beside the stream that it is for. Its waiter stood on an
-// object that only the stream held: a server that leaves between the end of a
-// migration and the waiter's turn made the stream forget it, and the waiter
-// went on in memory that was free. And an exception ended a migration without
-// a word: its turn to copy was never given back, so no other run of this host
-// left that server, and the stream waited for nothing.
+// Guards against two faults of a migration, which runs beside its stream.
+//
+// Use after free: only the stream owned the migrator. When a server drained
+// between the end of a migration and the resumption of its waiter, the stream
+// released the migrator and the waiter went on in freed memory.
+//
+// Lost copy turn: a migration that ended with an exception logged nothing and
+// never ended its turn to copy, so that no other generation of this host could
+// leave that server, and the stream waited in vain.
 
 #include <godwit/entry/migrator.hpp>
 
@@ -32,55 +35,56 @@
 using namespace godwit::entry;
 namespace asio = boost::asio;
 
-http::endpoint local(unsigned port)
+http::endpoint loopback_endpoint(unsigned port)
 {
     return http::endpoint::parse("127.0.0.1:" + std::to_string(port)).value();
 }
 
-placement::backend_server server_named(const std::string& id, unsigned port)
+placement::backend_server make_server(const std::string& id, unsigned port)
 {
     return placement::backend_server{
         placement::server_id(id),
         core::service_name("lm"),
-        local(port),
+        loopback_endpoint(port),
         core::zone_name("east"),
         4};
 }
 
-entry_settings settings_of_a_host()
+entry_settings make_host_settings()
 {
     return entry_settings{
         .host = core::host_name("h1"),
         .zone = core::zone_name("east"),
-        .callers = local(0),
-        .readiness = local(0),
-        .operators = local(0),
-        .neighbours = local(0),
+        .callers = loopback_endpoint(0),
+        .readiness = loopback_endpoint(0),
+        .operators = loopback_endpoint(0),
+        .neighbours = loopback_endpoint(0),
         .seeds = {}};
 }
 
-http::request broken_copy_order(const copy_request& /*order*/)
+http::request throw_on_copy_request(const copy_request& /*request*/)
 {
     throw std::runtime_error("a fault of the codec");
 }
 
-/// A call of a stream that runs at "i-1", in an exchange of its own.
-class stage
+/// A streaming call that runs at "i-1", with an exchange of its own.
+class call_fixture
 {
 public:
-    using script = std::function<asio::awaitable<void>(stage&)>;
+    using test_body = std::function<asio::awaitable<void>(call_fixture&)>;
 
-    /// Plays `script` on one context, for a second at the most.
-    static void play(const script& played)
+    /// Runs `body` on one context, for a second at most.
+    static void run(const test_body& body)
     {
         asio::io_context io{1};
         const auto server =
             http::server::create(
                 io,
-                {local(0), {}, {}},
-                [&io, &played](http::exchange& asked) -> asio::awaitable<void> {
-                    stage made(io, asked);
-                    co_await played(made);
+                {loopback_endpoint(0), {}, {}},
+                [&io,
+                 &body](http::exchange& exchange) -> asio::awaitable<void> {
+                    call_fixture fixture(io, exchange);
+                    co_await body(fixture);
                     io.stop();
                 })
                 .value();
@@ -92,37 +96,37 @@
         io.run_for(std::chrono::seconds(1));
     }
 
-    std::shared_ptr<migrator> make(migration_cause cause)
+    std::shared_ptr<migrator> make_migrator(migration_cause cause)
     {
         const auto source = std::make_shared<upstream>(
-            context, server_named("i-1", 1), std::chrono::seconds(1));
+            context, make_server("i-1", 1), std::chrono::seconds(1));
         return std::make_shared<migrator>(
             context, call_, source, placement::work_size{1, 100}, 100, cause);
     }
 
-    asio::awaitable<void> pass(std::chrono::milliseconds span)
+    asio::awaitable<void> sleep_for(std::chrono::milliseconds duration)
     {
-        asio::steady_timer timer(context.executor, span);
+        asio::steady_timer timer(context.executor, duration);
         co_await timer.async_wait(asio::use_awaitable);
     }
 
     entry_context context;
 
 private:
-    static codec_functions words()
+    static codec_functions failing_codec()
     {
-        codec_functions made{};
-        made.write_copy_request = &broken_copy_order;
-        return made;
+        codec_functions codec{};
+        codec.write_copy_request = &throw_on_copy_request;
+        return codec;
     }
 
-    stage(asio::io_context& io, http::exchange& asked)
-        : context(io.get_executor(), settings_of_a_host(), words())
+    call_fixture(asio::io_context& io, http::exchange& exchange)
+        : context(io.get_executor(), make_host_settings(), failing_codec())
     {
         service_.name = core::service_name("lm");
         service_.engine = routing::engine_profile{4, 10000, 1, 1000.0, 1, true};
         call_ = std::make_shared<const routed_call>(routed_call{
-            asked, {}, nullptr, route_, service_, std::nullopt, 0, {}, {}});
+            exchange, {}, nullptr, route_, service_, std::nullopt, 0, {}, {}});
     }
 
     routing::route route_;
@@ -133,62 +137,71 @@
 class migrator_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(migrator_test);
-    CPPUNIT_TEST(test_one_that_is_waited_for_outlives_its_stream);
-    CPPUNIT_TEST(test_one_that_fails_gives_back_its_turn_and_tells);
+    CPPUNIT_TEST(test_waiter_keeps_migrator_alive_after_its_stream_releases_it);
+    CPPUNIT_TEST(test_exception_ends_copy_turn_and_notifies_waiter);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_one_that_is_waited_for_outlives_its_stream()
+    void test_waiter_keeps_migrator_alive_after_its_stream_releases_it()
     {
         bool is_alive = false;
-        stage::play([&](stage& on) -> asio::awaitable<void> {
-            auto held = on.make(migration_cause::server_draining);
-            const std::weak_ptr<migrator> seen = held;
+        call_fixture::run([&](call_fixture& fixture) -> asio::awaitable<void> {
+            auto migrator_under_test =
+                fixture.make_migrator(migration_cause::server_draining);
+            const std::weak_ptr<migrator> weak_migrator = migrator_under_test;
             asio::co_spawn(
-                on.context.executor,
-                held->outcome(core::monotonic_now() + std::chrono::seconds(5)),
+                fixture.context.executor,
+                migrator_under_test->outcome(
+                    core::monotonic_now() + std::chrono::seconds(5)),
                 asio::detached);
-            co_await on.pass(std::chrono::milliseconds(5));
-            // There is no other server. What is posted here looks in between
-            // any two steps, as a word that the server leaves may come.
-            const std::function<void()> forget_settled = [&] {
-                if (!held->is_still_at_source()) {
-                    asio::post(on.context.executor, std::ref(forget_settled));
+            co_await fixture.sleep_for(std::chrono::milliseconds(5));
+            // There is no other server, so the migration cannot succeed. The
+            // posted function runs between any two steps of it, as a notice
+            // that the server drains may.
+            const std::function<void()> release_when_finished = [&] {
+                if (!migrator_under_test->is_still_at_source()) {
+                    asio::post(
+                        fixture.context.executor,
+                        std::ref(release_when_finished));
                     return;
                 }
-                held.reset();
-                is_alive = !seen.expired();
+                migrator_under_test.reset();
+                is_alive = !weak_migrator.expired();
             };
-            held->start();
-            held->stop();
-            forget_settled();
-            co_await on.pass(std::chrono::milliseconds(200));
+            migrator_under_test->start();
+            migrator_under_test->stop();
+            release_when_finished();
+            co_await fixture.sleep_for(std::chrono::milliseconds(200));
         });
         CPPUNIT_ASSERT(is_alive);
     }
 
-    void test_one_that_fails_gives_back_its_turn_and_tells()
+    void test_exception_ends_copy_turn_and_notifies_waiter()
     {
-        bool is_told = false;
-        bool is_turn_free = false;
-        stage::play([&](stage& on) -> asio::awaitable<void> {
+        bool is_waiter_notified = false;
+        bool is_copy_turn_free = false;
+        call_fixture::run([&](call_fixture& fixture) -> asio::awaitable<void> {
             for (const char* id : {"i-1", "i-2"})
-                on.context.directory.listed(
-                    server_named(id, id[2] - '0'), core::monotonic_now());
-            const auto held = on.make(migration_cause::server_draining);
+                fixture.context.directory.listed(
+                    make_server(id, id[2] - '0'), core::monotonic_now());
+            const auto migrator_under_test =
+                fixture.make_migrator(migration_cause::server_draining);
             asio::co_spawn(
-                on.context.executor,
-                held->outcome(core::monotonic_now() + std::chrono::seconds(5)),
-                [&is_told](const std::exception_ptr&, const auto& moved) {
-                    is_told = !moved;
+                fixture.context.executor,
+                migrator_under_test->outcome(
+                    core::monotonic_now() + std::chrono::seconds(5)),
+                [&is_waiter_notified](
+                    const std::exception_ptr&, const auto& migrated) {
+                    is_waiter_notified = !migrated;
                 });
-            held->start();
-            co_await on.pass(std::chrono::milliseconds(100));
+            migrator_under_test->start();
+            co_await fixture.sleep_for(std::chrono::milliseconds(100));
             const placement::server_id source("i-1");
-            const auto turn = on.context.copy_queue.enqueue(source, 1.0);
-            is_turn_free = on.context.copy_queue.try_start(source, turn);
+            const auto ticket = fixture.context.copy_queue.enqueue(source, 1.0);
+            is_copy_turn_free =
+                fixture.context.copy_queue.try_start(source, ticket);
         });
-        CPPUNIT_ASSERT(is_told);
-        CPPUNIT_ASSERT(is_turn_free);
+        CPPUNIT_ASSERT(is_waiter_notified);
+        CPPUNIT_ASSERT(is_copy_turn_free);
     }
 };
 
--- a/tests/entry/parts_test.cpp
+++ b/tests/entry/parts_test.cpp
@@ -45,7 +45,7 @@
     return hosts;
 }
 
-struct quiet_stream : running_stream
+struct idle_stream : running_stream
 {
     core::time_point last;
 
@@ -62,33 +62,33 @@
 class parts_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(parts_test);
-    CPPUNIT_TEST(test_events_come_whole_and_unchanged);
-    CPPUNIT_TEST(test_an_event_that_is_cut_is_kept_back);
-    CPPUNIT_TEST(test_an_endless_event_is_refused);
-    CPPUNIT_TEST(test_a_store_outage_lets_entries_lapse);
-    CPPUNIT_TEST(test_an_own_cut_does_not_let_entries_lapse);
-    CPPUNIT_TEST(test_a_word_from_the_very_return_proves_nothing);
-    CPPUNIT_TEST(test_small_fleets_have_one_link_a_pair);
-    CPPUNIT_TEST(test_news_reaches_large_fleets_in_few_steps);
+    CPPUNIT_TEST(test_events_are_split_without_changing_a_byte);
+    CPPUNIT_TEST(test_incomplete_event_is_not_returned);
+    CPPUNIT_TEST(test_event_above_the_size_limit_is_an_error);
+    CPPUNIT_TEST(test_entries_may_expire_after_a_store_outage);
+    CPPUNIT_TEST(test_local_disconnection_does_not_expire_entries);
+    CPPUNIT_TEST(test_neighbour_report_just_before_the_return_is_ignored);
+    CPPUNIT_TEST(test_small_fleets_have_one_link_per_pair);
+    CPPUNIT_TEST(test_messages_reach_large_fleets_in_few_hops);
     CPPUNIT_TEST(test_cells_are_of_one_zone_and_cover_the_fleet);
     CPPUNIT_TEST(test_every_host_is_linked_with_every_cell);
-    CPPUNIT_TEST(test_a_cell_tells_what_changed);
-    CPPUNIT_TEST(test_a_cell_is_never_silent_for_long);
-    CPPUNIT_TEST(test_a_new_listener_gets_all_that_was_told);
-    CPPUNIT_TEST(test_a_host_in_another_cell_tells_all);
-    CPPUNIT_TEST(test_a_cell_tells_what_is_on_its_way);
-    CPPUNIT_TEST(test_growth_adds_up_until_it_is_told);
-    CPPUNIT_TEST(test_a_cell_tells_everything_now_and_then);
-    CPPUNIT_TEST(test_claims_hold_up_others_until_they_end);
-    CPPUNIT_TEST(test_a_server_is_silent_when_all_its_streams_are);
-    CPPUNIT_TEST(test_the_most_urgent_and_then_the_oldest_go_first);
+    CPPUNIT_TEST(test_cell_reports_only_changes);
+    CPPUNIT_TEST(test_unchanged_cell_still_sends_reports);
+    CPPUNIT_TEST(test_new_neighbour_receives_the_reported_state);
+    CPPUNIT_TEST(test_host_that_changes_cell_sends_full_report);
+    CPPUNIT_TEST(test_cell_reports_arriving_kv_cache);
+    CPPUNIT_TEST(test_small_growth_accumulates_until_reported);
+    CPPUNIT_TEST(test_cell_sends_full_reports_periodically);
+    CPPUNIT_TEST(test_link_claims_expire_and_are_replaced);
+    CPPUNIT_TEST(test_server_is_unresponsive_only_if_all_its_streams_are_idle);
+    CPPUNIT_TEST(test_queue_is_ordered_by_priority_then_age);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_events_come_whole_and_unchanged()
+    void test_events_are_split_without_changing_a_byte()
     {
         const std::string text =
             "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\n";
-        // In pieces of every size.
+        // In chunks of every size.
         for (std::size_t size = 1; size <= text.size(); ++size) {
             event_splitter splitter;
             std::string joined;
@@ -107,7 +107,7 @@
         }
     }
 
-    void test_an_event_that_is_cut_is_kept_back()
+    void test_incomplete_event_is_not_returned()
     {
         event_splitter splitter;
         const auto events = splitter.push("id: 1\n\nid: 2\nda").value();
@@ -115,14 +115,14 @@
         CPPUNIT_ASSERT(!splitter.is_at_event_boundary());
     }
 
-    void test_an_endless_event_is_refused()
+    void test_event_above_the_size_limit_is_an_error()
     {
         event_splitter splitter;
         const std::string endless(event_splitter::max_event_bytes + 1, 'x');
         CPPUNIT_ASSERT(!splitter.push(endless));
     }
 
-    void test_a_store_outage_lets_entries_lapse()
+    void test_entries_may_expire_after_a_store_outage()
     {
         server_list_outage outage;
         CPPUNIT_ASSERT(outage.state_at(at_ms(0)) == source_state::recovering);
@@ -137,19 +137,19 @@
         CPPUNIT_ASSERT(outage.state_at(at_ms(9000)) == source_state::steady);
     }
 
-    void test_an_own_cut_does_not_let_entries_lapse()
+    void test_local_disconnection_does_not_expire_entries()
     {
         server_list_outage outage;
         outage.set_current(true, at_ms(0));
         outage.set_current(false, at_ms(1000));
-        // The neighbour may not have noticed yet what this host did.
+        // The neighbour may not have noticed yet that it lost the source, too.
         outage.record_neighbour_read(at_ms(2000));
         outage.record_neighbour_read(at_ms(4000));
         outage.set_current(true, at_ms(6000));
         CPPUNIT_ASSERT(outage.state_at(at_ms(6000)) == source_state::steady);
     }
 
-    void test_a_word_from_the_very_return_proves_nothing()
+    void test_neighbour_report_just_before_the_return_is_ignored()
     {
         server_list_outage outage;
         outage.set_current(true, at_ms(0));
@@ -160,7 +160,7 @@
             outage.state_at(at_ms(6000)) == source_state::recovering);
     }
 
-    void test_small_fleets_have_one_link_a_pair()
+    void test_small_fleets_have_one_link_per_pair()
     {
         const auto hosts = fleet(6);
         std::set<std::pair<std::string, std::string>> pairs;
@@ -178,21 +178,21 @@
                 .empty());
     }
 
-    void test_news_reaches_large_fleets_in_few_steps()
+    void test_messages_reach_large_fleets_in_few_hops()
     {
         const auto hosts = fleet(410);
         std::map<std::string, std::set<std::string>> links;
-        std::size_t most = 0;
+        std::size_t max_links = 0;
         for (const auto& self : hosts) {
             const auto chosen =
                 select_neighbours(divide_into_cells(hosts), self.name);
-            most = std::max(most, chosen.size());
+            max_links = std::max(max_links, chosen.size());
             for (const auto& other : chosen) {
                 links[self.name.value()].insert(other.name.value());
                 links[other.name.value()].insert(self.name.value());
             }
         }
-        CPPUNIT_ASSERT(most <= max_cell_hosts - 1 + 8);
+        CPPUNIT_ASSERT(max_links <= max_cell_hosts - 1 + 8);
         std::set<std::string> reached{hosts.front().name.value()};
         int steps = 0;
         while (reached.size() < hosts.size()) {
@@ -221,29 +221,29 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{100}, hosts.size());
     }
 
-    // Every host hears the sums of every other cell over a link of its own.
+    // Every host receives the load of every other cell over a link of its own.
     void test_every_host_is_linked_with_every_cell()
     {
         for (const int size : {10, 30, 83, 300}) {
             const auto cells = divide_into_cells(fleet(size));
-            std::map<std::string, std::set<std::string>> heard;
+            std::map<std::string, std::set<std::string>> received;
             for (const host_cell& cell : cells) {
                 for (const known_host& self : cell.members) {
                     for (const auto& other :
                          select_neighbours(cells, self.name)) {
-                        heard[self.name.value()].insert(
-                            cell_name(cells, other));
-                        heard[other.name.value()].insert(cell.name.value());
+                        received[self.name.value()].insert(
+                            cell_name_of(cells, other));
+                        received[other.name.value()].insert(cell.name.value());
                     }
                 }
             }
-            for (const auto& [host, names] : heard)
+            for (const auto& [host, names] : received)
                 CPPUNIT_ASSERT(names.size() + 1 >= cells.size());
         }
     }
 
     static std::string
-    cell_name(const std::vector<host_cell>& cells, const known_host& host)
+    cell_name_of(const std::vector<host_cell>& cells, const known_host& host)
     {
         for (const host_cell& cell : cells) {
             if (std::find(cell.members.begin(), cell.members.end(), host) !=
@@ -255,113 +255,116 @@
 
     using sums = std::vector<placement::server_work>;
 
-    void test_a_cell_tells_what_changed()
+    void test_cell_reports_only_changes()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         const server_id two("i-2");
-        const auto first = report.next(
+        const auto first = reporter.next(
             cell, sums{{one, {1, 3000, 3000}}, {two, {2, 6000, 0}}}, at_ms(0));
         CPPUNIT_ASSERT(first->is_whole);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, first->work.size());
-        // Memory that grows a little is no news.
-        CPPUNIT_ASSERT(!report.next(
+        // A small growth of memory is not reported.
+        CPPUNIT_ASSERT(!reporter.next(
             cell,
             sums{{one, {1, 3000, 3000}}, {two, {2, 6100, 0}}},
             at_ms(100)));
-        // One prompt was read; the other server's work ended.
+        // One prompt was processed; the other server's work ended.
         const auto second =
-            report.next(cell, sums{{one, {1, 3000, 0}}}, at_ms(200));
+            reporter.next(cell, sums{{one, {1, 3000, 0}}}, at_ms(200));
         CPPUNIT_ASSERT(!second->is_whole);
         const std::vector<wire::server_work> expected{
             {"i-1", 1, 3000, 0}, {"i-2", 0, 0, 0}};
         CPPUNIT_ASSERT(second->work == expected);
     }
 
-    void test_a_cell_is_never_silent_for_long()
+    void test_unchanged_cell_still_sends_reports()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const placement::host_group cell("east/0");
         const sums unchanged{{server_id("i-1"), {1, 3000, 0}}};
-        CPPUNIT_ASSERT(!report.full(cell));
-        CPPUNIT_ASSERT(report.next(cell, unchanged, at_ms(1000))->is_whole);
-        CPPUNIT_ASSERT(!report.next(cell, unchanged, at_ms(1400)));
-        const auto sign = report.next(cell, unchanged, at_ms(1500));
-        CPPUNIT_ASSERT(sign && !sign->is_whole && sign->work.empty());
-        CPPUNIT_ASSERT(!report.next(cell, unchanged, at_ms(1600)));
-        CPPUNIT_ASSERT(report.next(cell, unchanged, at_ms(11'000))->is_whole);
+        CPPUNIT_ASSERT(!reporter.full(cell));
+        CPPUNIT_ASSERT(reporter.next(cell, unchanged, at_ms(1000))->is_whole);
+        CPPUNIT_ASSERT(!reporter.next(cell, unchanged, at_ms(1400)));
+        const auto keep_alive = reporter.next(cell, unchanged, at_ms(1500));
+        CPPUNIT_ASSERT(
+            keep_alive && !keep_alive->is_whole && keep_alive->work.empty());
+        CPPUNIT_ASSERT(!reporter.next(cell, unchanged, at_ms(1600)));
+        CPPUNIT_ASSERT(reporter.next(cell, unchanged, at_ms(11'000))->is_whole);
     }
 
-    // A new link begins with what the changes that follow are told against.
-    void test_a_new_listener_gets_all_that_was_told()
+    // A new link starts with the state that the following changes refer to.
+    void test_new_neighbour_receives_the_reported_state()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         const server_id two("i-2");
-        (void)report.next(
+        (void)reporter.next(
             cell, sums{{one, {1, 3000, 0}}, {two, {1, 2000, 0}}}, at_ms(1000));
-        // Growth that waits is not told yet.
-        (void)report.next(cell, sums{{one, {1, 3100, 0}}}, at_ms(1100));
-        const auto whole = report.full(cell);
-        CPPUNIT_ASSERT(whole && whole->is_whole);
+        // Growth below the threshold is not reported yet.
+        (void)reporter.next(cell, sums{{one, {1, 3100, 0}}}, at_ms(1100));
+        const auto full = reporter.full(cell);
+        CPPUNIT_ASSERT(full && full->is_whole);
         const std::vector<wire::server_work> expected{{"i-1", 1, 3000, 0}};
-        CPPUNIT_ASSERT(whole->work == expected);
+        CPPUNIT_ASSERT(full->work == expected);
     }
 
-    void test_a_host_in_another_cell_tells_all()
+    void test_host_that_changes_cell_sends_full_report()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const sums unchanged{{server_id("i-1"), {1, 3000, 0}}};
-        (void)report.next(
+        (void)reporter.next(
             placement::host_group("east/0"), unchanged, at_ms(1000));
-        CPPUNIT_ASSERT(!report.full(placement::host_group("east/1")));
-        const auto said = report.next(
+        CPPUNIT_ASSERT(!reporter.full(placement::host_group("east/1")));
+        const auto report_after_change = reporter.next(
             placement::host_group("east/1"), unchanged, at_ms(1100));
-        CPPUNIT_ASSERT(said && said->is_whole && said->cell == "east/1");
+        CPPUNIT_ASSERT(
+            report_after_change && report_after_change->is_whole &&
+            report_after_change->cell == "east/1");
     }
 
-    void test_a_cell_tells_what_is_on_its_way()
+    void test_cell_reports_arriving_kv_cache()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
         const auto first =
-            report.next(cell, sums{{one, {1, 3000, 0, 3000}}}, at_ms(0));
+            reporter.next(cell, sums{{one, {1, 3000, 0, 3000}}}, at_ms(0));
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t{3000}, first->work.front().arriving_tokens);
-        // The memory has arrived; nothing else changed.
+        // The KV cache has arrived; nothing else changed.
         const auto second =
-            report.next(cell, sums{{one, {1, 3000, 0, 0}}}, at_ms(100));
+            reporter.next(cell, sums{{one, {1, 3000, 0, 0}}}, at_ms(100));
         CPPUNIT_ASSERT(second);
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t{0}, second->work.front().arriving_tokens);
     }
 
-    void test_growth_adds_up_until_it_is_told()
+    void test_small_growth_accumulates_until_reported()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const placement::host_group cell("east/0");
         const server_id one("i-1");
-        (void)report.next(cell, sums{{one, {1, 3000, 0}}}, at_ms(0));
+        (void)reporter.next(cell, sums{{one, {1, 3000, 0}}}, at_ms(0));
         CPPUNIT_ASSERT(
-            !report.next(cell, sums{{one, {1, 3300, 0}}}, at_ms(100)));
+            !reporter.next(cell, sums{{one, {1, 3300, 0}}}, at_ms(100)));
         CPPUNIT_ASSERT(
-            report.next(cell, sums{{one, {1, 3400, 0}}}, at_ms(200)));
+            reporter.next(cell, sums{{one, {1, 3400, 0}}}, at_ms(200)));
     }
 
-    void test_a_cell_tells_everything_now_and_then()
+    void test_cell_sends_full_reports_periodically()
     {
-        cell_load_reporter report;
+        cell_load_reporter reporter;
         const placement::host_group cell("east/0");
         const sums work{{server_id("i-1"), {1, 3000, 0}}};
-        CPPUNIT_ASSERT(report.next(cell, work, at_ms(1000))->is_whole);
-        CPPUNIT_ASSERT(!report.next(cell, work, at_ms(10'900))->is_whole);
-        CPPUNIT_ASSERT(report.next(cell, work, at_ms(11'000))->is_whole);
+        CPPUNIT_ASSERT(reporter.next(cell, work, at_ms(1000))->is_whole);
+        CPPUNIT_ASSERT(!reporter.next(cell, work, at_ms(10'900))->is_whole);
+        CPPUNIT_ASSERT(reporter.next(cell, work, at_ms(11'000))->is_whole);
     }
 
-    void test_claims_hold_up_others_until_they_end()
+    void test_link_claims_expire_and_are_replaced()
     {
         link_claims claims;
         claims.update(
@@ -373,11 +376,11 @@
         CPPUNIT_ASSERT(!claims.is_claimed({server_id("d")}, at_ms(60)));
     }
 
-    void test_a_server_is_silent_when_all_its_streams_are()
+    void test_server_is_unresponsive_only_if_all_its_streams_are_idle()
     {
         stream_registry streams;
-        quiet_stream one;
-        quiet_stream other;
+        idle_stream one;
+        idle_stream other;
         streams.add(server_id("s"), one);
         streams.add(server_id("s"), other);
         other.last = at_ms(500);
@@ -391,15 +394,15 @@
         CPPUNIT_ASSERT(streams.unresponsive_servers(span, at_ms(9999)).empty());
     }
 
-    void test_the_most_urgent_and_then_the_oldest_go_first()
+    void test_queue_is_ordered_by_priority_then_age()
     {
         boost::asio::io_context context;
-        wait_queue line;
+        wait_queue queue;
         std::string order;
         const auto wait = [&](int priority,
                               char name) -> boost::asio::awaitable<void> {
-            wait_queue::waiter place(line, context.get_executor(), priority);
-            co_await place.wait_turn(
+            wait_queue::waiter waiter(queue, context.get_executor(), priority);
+            co_await waiter.wait_turn(
                 core::monotonic_now() + std::chrono::seconds(10));
             order += name;
         };
@@ -412,12 +415,12 @@
         spawn(1, 'b');
         spawn(0, 'c');
         spawn(2, 'd');
-        CPPUNIT_ASSERT(line.has_waiter_ahead_of(0));
-        // Each that leaves lets the next one try.
-        line.wake_first();
+        CPPUNIT_ASSERT(queue.has_waiter_ahead_of(0));
+        // Each waiter that leaves wakes the next one.
+        queue.wake_first();
         context.run();
         CPPUNIT_ASSERT_EQUAL(std::string("cabd"), order);
-        CPPUNIT_ASSERT(!line.has_waiter_ahead_of(2));
+        CPPUNIT_ASSERT(!queue.has_waiter_ahead_of(2));
     }
 };
 
--- a/tests/entry/refusal_test.cpp
+++ b/tests/entry/refusal_test.cpp
@@ -12,29 +12,31 @@
 class refusal_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(refusal_test);
-    CPPUNIT_TEST(test_what_never_reached_a_handler_has_not_run);
-    CPPUNIT_TEST(test_what_a_handler_failed_may_have_run);
+    CPPUNIT_TEST(test_rejection_before_the_handler_means_not_run);
+    CPPUNIT_TEST(test_handler_failure_means_outcome_unknown);
     CPPUNIT_TEST_SUITE_END();
 
-    static bool says(rejection_reason reason, const std::string& outcome)
+    static bool has_outcome(rejection_reason reason, const std::string& outcome)
     {
-        const http::response answer =
+        const http::response response =
             entry::make_rejection_response(http::make_rejection(reason));
-        return answer.body.find("\"outcome\":\"" + outcome + "\"") !=
+        return response.body.find("\"outcome\":\"" + outcome + "\"") !=
                std::string::npos;
     }
 
-    void test_what_never_reached_a_handler_has_not_run()
+    void test_rejection_before_the_handler_means_not_run()
     {
-        CPPUNIT_ASSERT(says(rejection_reason::malformed, "not_run"));
-        CPPUNIT_ASSERT(says(rejection_reason::slow_body, "not_run"));
-        CPPUNIT_ASSERT(says(rejection_reason::too_many_connections, "not_run"));
+        CPPUNIT_ASSERT(has_outcome(rejection_reason::malformed, "not_run"));
+        CPPUNIT_ASSERT(has_outcome(rejection_reason::slow_body, "not_run"));
+        CPPUNIT_ASSERT(
+            has_outcome(rejection_reason::too_many_connections, "not_run"));
     }
 
-    // Whatever the handler did before it failed, it may have sent the request.
-    void test_what_a_handler_failed_may_have_run()
+    // The handler may have sent the request before it failed.
+    void test_handler_failure_means_outcome_unknown()
     {
-        CPPUNIT_ASSERT(says(rejection_reason::handler_failed, "unknown"));
+        CPPUNIT_ASSERT(
+            has_outcome(rejection_reason::handler_failed, "unknown"));
     }
 };
 
--- a/tests/entry/spawn_test.cpp
+++ b/tests/entry/spawn_test.cpp
@@ -1,5 +1,6 @@
-// A coroutine that nobody waits for ends without a word when an exception
-// leaves it. These are told, and those that the host lives by begin again.
+// A detached coroutine that throws would end without a trace. `spawn` logs the
+// exception and calls the end handler; `spawn_with_restart` restarts the
+// coroutine.
 
 #include <godwit/entry/spawn.hpp>
 
@@ -17,11 +18,11 @@
 class spawn_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(spawn_test);
-    CPPUNIT_TEST(test_the_end_is_told_however_it_came);
-    CPPUNIT_TEST(test_an_exception_begins_a_kept_one_again);
+    CPPUNIT_TEST(test_end_handler_is_called_on_return_and_on_exception);
+    CPPUNIT_TEST(test_coroutine_is_restarted_after_exceptions);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_the_end_is_told_however_it_came()
+    void test_end_handler_is_called_on_return_and_on_exception()
     {
         for (const bool fails : {false, true}) {
             asio::io_context io{1};
@@ -40,19 +41,19 @@
         }
     }
 
-    void test_an_exception_begins_a_kept_one_again()
+    void test_coroutine_is_restarted_after_exceptions()
     {
         asio::io_context io{1};
-        int begun = 0;
+        int starts = 0;
         spawn_with_restart(
-            io.get_executor(), "test", [&begun]() -> asio::awaitable<void> {
-                if (++begun < 3)
+            io.get_executor(), "test", [&starts]() -> asio::awaitable<void> {
+                if (++starts < 3)
                     throw 3;
                 co_return;
             });
-        // Ends, since the third one returns.
+        // Returns because the third run of the coroutine does.
         io.run();
-        CPPUNIT_ASSERT_EQUAL(3, begun);
+        CPPUNIT_ASSERT_EQUAL(3, starts);
     }
 };
 
