--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -33,9 +33,9 @@
     const hold_request request{
         tokens, std::min(hold_lifetime, call.service.engine->max_hold)};
     http::request outgoing = context.codec.write_hold_request(request);
-    const core::duration left = call.deadline - core::monotonic_now();
+    const core::duration remaining = call.deadline - core::monotonic_now();
     const http::fetch_limits limits{
-        .deadline = std::min(response_timeout, left)};
+        .deadline = std::min(response_timeout, remaining)};
     const auto fetched = co_await http::fetch(
         *context.connections, server.address, std::move(outgoing), limits);
     hold_response response;
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -250,16 +250,16 @@
     if (!started)
         co_return;
     while (!is_caller_disconnected_) {
-        auto piece = co_await active_->read_some(call_->deadline);
+        auto chunk = co_await active_->read_some(call_->deadline);
         if (is_caller_disconnected_)
             co_return;
-        if (piece && piece->has_value()) {
-            const bool is_relayed = co_await relay_events(std::move(**piece));
+        if (chunk && chunk->has_value()) {
+            const bool is_relayed = co_await relay_events(std::move(**chunk));
             if (!is_relayed)
                 co_return;
             continue;
         }
-        if (piece && event_splitter_.is_at_event_boundary()) {
+        if (chunk && event_splitter_.is_at_event_boundary()) {
             active_->release_connection();
             stop_migration();
             context_.health.record_success(active_->server().id);
@@ -275,11 +275,11 @@
             continue;
         if (is_caller_disconnected_)
             co_return;
-        if (!piece && is_lost_run(piece.error()))
+        if (!chunk && is_lost_run(chunk.error()))
             record_lost_run(context_, *call_, active_->server());
         context_.health.record_unreachable(
             active_->server().id, core::monotonic_now());
-        interrupt(piece ? "incomplete event" : piece.error().cause.message());
+        interrupt(chunk ? "incomplete event" : chunk.error().cause.message());
         co_return;
     }
 }
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -120,10 +120,10 @@
 asio::awaitable<upstream_result<std::optional<std::string>>>
 upstream::read_some(core::time_point end)
 {
-    auto piece = co_await stream_->read_some(time_until(end));
-    if (!piece)
-        co_return tl::unexpected(to_failure(piece.error()));
-    co_return std::move(*piece);
+    auto chunk = co_await stream_->read_some(time_until(end));
+    if (!chunk)
+        co_return tl::unexpected(to_failure(chunk.error()));
+    co_return std::move(*chunk);
 }
 
 asio::awaitable<upstream_result<std::string>>
@@ -131,12 +131,12 @@
 {
     std::string body;
     while (true) {
-        auto piece = co_await read_some(end);
-        if (!piece)
-            co_return tl::unexpected(piece.error());
-        if (!piece->has_value())
+        auto chunk = co_await read_some(end);
+        if (!chunk)
+            co_return tl::unexpected(chunk.error());
+        if (!chunk->has_value())
             co_return body;
-        body += **piece;
+        body += **chunk;
         if (body.size() > max_body_bytes)
             co_return tl::unexpected(invalid_response(
                 "the response of " + server_.address.to_string() +
