--- a/services/entry/include/godwit/entry/cell_load_reporter.hpp
+++ b/services/entry/include/godwit/entry/cell_load_reporter.hpp
@@ -11,46 +11,47 @@
 
 namespace godwit::entry {
 
-/// What a host tells other cells of its own one: the work at each server, as
-/// sums over the cell's hosts.
+/// Composes the messages in which a host reports the load of its own cell to
+/// other cells: the load at each server, summed over the cell's hosts.
 class cell_load_reporter
 {
 public:
-    /// The span between two words. A choice between engines is as good as
-    /// what is known of them; a prompt takes some 400 ms to be read.
+    /// Interval between two reports. A choice between engines is as good as the
+    /// load data behind it; the prefill of a prompt takes some 400 ms.
     static constexpr core::duration report_interval =
         std::chrono::milliseconds(100);
-    /// All sums are told this often. A new link begins with all of them, and
-    /// loses none of what follows; this mends what two hosts of the cell told
-    /// of the same server in another order. Told each second, they were 8% of
-    /// the bytes between the zones of 295 hosts (0.87 GB in 48 s).
+    /// Interval between two full reports. A new link begins with a full report
+    /// and loses no later one; the periodic ones correct the sums when two
+    /// hosts of the cell report the same server in a different order. Sent each
+    /// second, they were 8% of the bytes between the zones of 295 hosts (0.87
+    /// GB in 48 s).
     static constexpr core::duration full_report_interval =
         std::chrono::seconds(10);
-    /// Something is told this often, so that silence means that the cell is
-    /// not heard.
+    /// Longest interval without a report, even if nothing changed, so that
+    /// missing reports mean that the cell cannot be reached.
     static constexpr core::duration max_report_interval =
         std::chrono::milliseconds(500);
-    /// Memory that grows by less than this many tokens, a tenth of a usual
-    /// run's, waits for more.
+    /// Changes of a server's KV cache below this number of tokens, a tenth of a
+    /// usual run's, are not reported until they add up.
     static constexpr std::uint64_t min_reported_growth = 400;
 
-    /// The word that is due now, if anything is to be told. `sums` names
-    /// each server with work once.
+    /// Returns the report that is due now, or nothing if there is nothing to
+    /// report. `sums` has each server with load once.
     [[nodiscard]] std::optional<wire::cell_work> next(
         const placement::host_group& cell,
         const std::vector<placement::server_work>& sums,
         core::time_point now);
 
-    /// All that was told so far, for a host that begins to listen; nothing
-    /// before the first word.
+    /// Returns all that was reported so far, for a host whose link opens, or
+    /// nothing before the first report.
     [[nodiscard]] std::optional<wire::cell_work>
     full(const placement::host_group& cell) const;
 
 private:
-    placement::host_group cell_; ///< Whose sums were told.
+    placement::host_group cell_; ///< The cell of the last report.
     std::map<placement::server_id, placement::work_size> reported_;
     core::time_point full_report_at_{};
-    std::optional<core::time_point> last_report_at_; ///< The last word.
+    std::optional<core::time_point> last_report_at_; ///< Of either kind.
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -34,9 +34,10 @@
 
 namespace godwit::entry {
 
-/// The process of one entry host: its listeners, its beliefs, its end.
-/// Everything runs on the one thread of `io`: the share of a core that such
-/// a host has leaves nothing for a second one to do.
+/// The process of an entry host: its listeners, its links to other hosts, the
+/// state that its requests share, and its shutdown. Everything runs on the one
+/// thread of `io`: the share of a core that such a host has leaves nothing for
+/// a second thread to do.
 class entry_process
 {
 public:
@@ -50,85 +51,91 @@
     entry_process(const entry_process&) = delete;
     entry_process& operator=(const entry_process&) = delete;
 
-    /// Begins to wait for signals and to keep time.
+    /// Starts to wait for signals and starts the periodic tick.
     void start();
 
-    /// How the settings are read again: when a signal says that they changed,
-    /// and now and then without one.
+    /// Reads the settings again. Called on SIGHUP and periodically.
     using settings_reader = std::function<core::result<entry_settings>()>;
 
-    /// Sets the reader; before `start`.
+    /// Sets the reader. Has to be called before `start`.
     void set_settings_reader(settings_reader reader);
 
-    /// Reads the settings again and takes over what a running process can.
-    /// A file that cannot be read is logged, and the last good one stays.
+    /// Reads the settings again and applies those that a running process can
+    /// change. A file that cannot be read is logged, and the last valid
+    /// settings stay.
     void reload();
 
-    /// Reads a version and then puts it in force, unless a newer one already
-    /// is: a process never goes back. `source` names who brought it, for the
-    /// log. A table that cannot be read is logged, and the last good one stays.
+    /// Parses a version of the route table and activates it, unless this or a
+    /// newer version is active: a process never goes back to an older one.
+    /// `source` is logged as its origin. A table that cannot be parsed is
+    /// logged, and the active one stays.
     void load_table(const std::string& text, std::string_view source);
 
     void add_or_update_server(
         const placement::backend_server& server, std::string_view source);
 
-    /// The source lists the server, though perhaps with nothing new.
+    /// Records that the source still lists the server, possibly without
+    /// changes.
     void confirm_server(const placement::server_id& server);
 
     void
     remove_server(const placement::server_id& server, std::string_view source);
 
-    /// Whether the list of servers is being read at its source. While it is,
-    /// neighbours are told, and what they say of servers is passed over.
+    /// Sets whether this host reads the list of servers at its source. While it
+    /// does, a neighbour whose link opens receives the list, and neighbours'
+    /// reports that are no newer than what was read are passed over.
     void set_server_list_current(bool is_current);
 
-    /// The list of servers was read at its source just now.
+    /// Records that the list of servers was read at its source just now.
     void record_list_read();
 
-    /// The newest route table was read at its source.
+    /// Records that the newest route table was read at its source.
     void record_table_source_read() { refresh_.record_table_read(); }
 
-    /// The whole list of servers was read at its source.
+    /// Records that the whole list of servers was read at its source.
     void record_full_list_read() { refresh_.record_server_list_read(); }
 
-    /// The source restarted from an older copy of the list: servers that it
-    /// lacks stay in use while they may list themselves again.
+    /// Records that the source restarted from an older copy of the list:
+    /// servers that are missing from it stay in use for as long as they may
+    /// register again.
     void record_source_restore();
 
-    /// The first whole list of servers was read, or a neighbour told it;
-    /// `source` names who brought it, for the log.
+    /// Records that the first whole list of servers is known, from the source
+    /// or from a neighbour. `source` is logged as its origin.
     void mark_servers_known(std::string_view source);
 
-    /// Whether this host should read the list of servers at a quick pace and
-    /// tell the others; one of them is enough, and each read has its price.
+    /// Returns whether this host should poll the list of servers at the short
+    /// interval and broadcast changes to the others. One such host is enough,
+    /// and each read has its cost.
     [[nodiscard]] bool is_primary_list_reader() const;
 
-    /// Whether this host may leave the list to another one of its cell, whose
-    /// word reaches it at once. While its own reads fail any reader will do;
-    /// otherwise it is one before this host by name.
+    /// Returns whether this host may rely on another one of its cell to read
+    /// the list, whose messages reach it at once. While its own reads fail, any
+    /// reader will do; otherwise it has to be one that precedes this host by
+    /// name.
     [[nodiscard]] bool may_rely_on_other_readers() const;
 
-    /// Whether this host started a moment ago beside others, whom it has yet
-    /// to hear.
+    /// Returns whether this host started a moment ago in a fleet with other
+    /// hosts and may not have received their messages yet.
     [[nodiscard]] bool is_joining_fleet() const;
 
-    /// How many hosts of the own cell come before this one by name.
+    /// Returns the number of hosts in this host's cell that precede it by name.
     [[nodiscard]] std::size_t rank_in_cell() const;
 
-    /// Whether the fleet is too large for each host to call the source on
-    /// its own.
+    /// Returns whether the fleet is too large for each host to call the source
+    /// on its own.
     [[nodiscard]] bool is_large_fleet() const noexcept
     {
         return fleet_size_ > max_full_mesh_hosts;
     }
 
-    /// How many entry hosts are known.
+    /// Returns the number of known entry hosts.
     [[nodiscard]] std::size_t fleet_size() const noexcept
     {
         return fleet_size_;
     }
 
-    /// The entry hosts of the fleet.
+    /// Sets the entry hosts of the fleet.
     void set_hosts(const std::vector<known_host>& hosts);
 
     /// Adds a stored report of a request that crashed backend servers. `source`
@@ -140,7 +147,7 @@
     void clear_crashes(
         const admission::request_fingerprint& request, std::string_view source);
 
-    /// Whether the balancer may send connections here.
+    /// Returns whether the load balancer may send connections to this host.
     [[nodiscard]] bool is_ready() const noexcept;
 
     [[nodiscard]] entry_context& context() noexcept { return context_; }
@@ -152,31 +159,31 @@
         const codec_functions& codec);
 
     [[nodiscard]] core::result<void> listen();
-    boost::asio::awaitable<void> answer_readiness(http::exchange& asked);
-    boost::asio::awaitable<void> answer_operator(http::exchange& asked);
+    boost::asio::awaitable<void> answer_readiness(http::exchange& exchange);
+    boost::asio::awaitable<void> answer_operator(http::exchange& exchange);
     [[nodiscard]] std::string state_text() const;
     void set_gauges();
     void wait_for_signal();
     void on_signal(int number);
     void apply_settings(const entry_settings& read);
     void begin_stop();
-    void watch_stop();
+    void check_stop();
     void tick();
     void detect_stall();
     [[nodiscard]] bool is_refreshing();
-    [[nodiscard]] bool may_lack_version() const;
+    [[nodiscard]] bool may_have_stale_routes() const;
     void on_server_added(
         const placement::backend_server& server, std::string_view source);
-    void on_server_leaving(
+    void on_server_draining(
         const placement::server_id& server, std::string_view source);
     void on_server_restarted(
         const placement::server_id& server,
         const http::endpoint& address,
         std::string_view source);
     void avoid_unresponsive_servers();
-    void compare_paces();
-    void
-    compare_paces_of(const routing::service& service, core::time_point now);
+    void detect_slow_servers();
+    void detect_slow_servers_of(
+        const routing::service& service, core::time_point now);
     void poll_reports();
     void broadcast_load();
     void schedule_load_broadcast();
@@ -188,20 +195,20 @@
     [[nodiscard]] wire::host_work load_message() const;
     [[nodiscard]] std::vector<wire::message>
     initial_messages(const wire::hello& peer) const;
-    void
-    handle_message(const std::shared_ptr<wire::link>& from, wire::message said);
+    void handle_message(
+        const std::shared_ptr<wire::link>& from, wire::message message);
     void
     handle_table_version(const core::host_name& host, std::uint64_t version);
     void handle_table_request(
-        const std::shared_ptr<wire::link>& from, const wire::pull& said);
+        const std::shared_ptr<wire::link>& from, const wire::pull& request);
     void request_table();
     void serve_table_requests();
-    void
-    handle_table(const core::host_name& host, const wire::table_document& said);
-    void answer_table_request(wire::link& to, const wire::pull& asked);
+    void handle_table(
+        const core::host_name& host, const wire::table_document& message);
+    void answer_table_request(wire::link& to, const wire::pull& request);
     void send_table(wire::link& to, wire::message table, std::size_t bytes);
     void handle_table_changes(
-        const core::host_name& host, const wire::table_changes& said);
+        const core::host_name& host, const wire::table_changes& message);
     void reject_changes(
         const core::host_name& host,
         std::uint64_t version,
@@ -224,32 +231,33 @@
     void add_to_history(received_table table);
     void apply_caller_limits(const routing::caller_limits& limits);
     void handle_servers(
-        const core::host_name& host, const wire::listed_servers& said);
+        const core::host_name& host, const wire::listed_servers& message);
     void handle_server_notice(
-        const core::host_name& host, const wire::server_sign& said);
+        const core::host_name& host, const wire::server_sign& message);
     void handle_link_claim(
-        const core::host_name& host, const wire::link_claim& said);
-    void handle_host_load(const wire::hello& peer, const wire::host_work& said);
+        const core::host_name& host, const wire::link_claim& message);
     void
-    handle_cell_load(const core::host_name& host, const wire::cell_work& said);
-    void tell_limit(const placement::server_limit& limit, unsigned sends);
+    handle_host_load(const wire::hello& peer, const wire::host_work& message);
+    void handle_cell_load(
+        const core::host_name& host, const wire::cell_work& message);
+    void broadcast_limit(const placement::server_limit& limit, unsigned sends);
     [[nodiscard]] wire::server_limits limits_message() const;
-    void
-    handle_limits(const core::host_name& host, const wire::server_limits& said);
+    void handle_limits(
+        const core::host_name& host, const wire::server_limits& message);
     void reject_limits(const core::host_name& host, const core::error& why);
     void update_limit_share();
     void forget_limit(const placement::server_id& server);
     [[nodiscard]] std::size_t host_rank(std::string_view key) const;
     [[nodiscard]] wire::crash_reports crash_reports_message() const;
     void handle_crash_reports(
-        const core::host_name& host, const wire::crash_reports& said);
+        const core::host_name& host, const wire::crash_reports& message);
     void
     reject_crash_reports(const core::host_name& host, const core::error& why);
     [[nodiscard]] std::vector<placement::server_work> valid_load(
         const core::host_name& host,
-        const std::vector<wire::server_work>& said);
+        const std::vector<wire::server_work>& loads);
     void update_list_readers(
-        const core::host_name& host, const wire::host_work& said);
+        const core::host_name& host, const wire::host_work& message);
 
     boost::asio::io_context& io_;
     entry_context context_;
@@ -263,11 +271,12 @@
     core::time_point started_at_{};
     core::time_point last_tick_at_{};
     source_refresh refresh_;
-    bool has_received_version_ = false; ///< Of the route table, from anybody.
-    core::time_point stop_began_{};
+    bool has_received_version_ = false; ///< Of the route table, from any host.
+    core::time_point stop_started_at_{};
     std::unique_ptr<neighbour_links> neighbours_;
     settings_reader read_settings_;
-    std::optional<entry_settings> last_read_settings_; ///< As the file said it.
+    /// As read from the file.
+    std::optional<entry_settings> last_read_settings_;
     core::time_point reloaded_at_{};
     table_history tables_;
     table_fetch_scheduler table_fetches_;
@@ -282,8 +291,8 @@
     report_poller reports_;
     core::time_point polled_at_{};
     server_list_outage outage_;
-    std::set<placement::server_id> unsent_servers_; ///< Not told yet.
-    core::time_point compared_at_{};
+    std::set<placement::server_id> unsent_servers_; ///< Not broadcast yet.
+    core::time_point slow_servers_checked_at_{};
     std::set<core::host_name> invalid_gaps_from_; ///< Hosts that were logged.
     /// Hosts whose malformed crash reports were logged.
     std::set<core::host_name> malformed_crash_reports_from_;
--- a/services/entry/include/godwit/entry/entry_settings.hpp
+++ b/services/entry/include/godwit/entry/entry_settings.hpp
@@ -20,31 +20,31 @@
     core::zone_name zone;
     telemetry::log_level log_level = telemetry::log_level::info;
     http::endpoint callers;    ///< Where callers connect.
-    http::endpoint readiness;  ///< Where the balancer asks.
-    http::endpoint operators;  ///< Metrics and the state dump.
+    http::endpoint readiness;  ///< Where the load balancer probes.
+    http::endpoint operators;  ///< Serves metrics and the state dump.
     http::endpoint neighbours; ///< Where other entry hosts connect.
     /// Addresses at which some other entry hosts may be found.
     std::vector<http::endpoint> seeds;
     std::size_t caller_connections = 3000;
-    /// From the order to stop until the process has to be gone.
+    /// Time from the stop signal until the process has to have ended.
     core::duration stop_grace = std::chrono::seconds(8);
-    /// The share of a service's requests that may be sent once more.
+    /// The share of a service's requests that may be retried.
     double retry_share = 0.2;
-    /// Repeats beyond that share, of all hosts together in one window.
+    /// Retries beyond that share, of all hosts together in one window.
     double retry_allowance = 50;
     core::duration retry_window = std::chrono::seconds(10);
 
     friend bool
     operator==(const entry_settings&, const entry_settings&) = default;
 
-    /// These settings with what `newer` changes and a running process can
-    /// take over: seeds, grace and retries. Listeners, names and the log
-    /// stay as they are until the next start.
+    /// Returns these settings with the values of `newer` for those that a
+    /// running process can change: seeds, grace and retries. Listeners, names
+    /// and the log stay as they are until the next start.
     [[nodiscard]] entry_settings
     with_reloadable_settings(const entry_settings& newer) const;
 
-    /// Reads the object of these settings and refuses unknown keys. Fails
-    /// with `invalid_input`.
+    /// Reads the object of these settings and rejects unknown keys. Fails with
+    /// `invalid_input`.
     [[nodiscard]] static core::result<entry_settings>
     read(settings::reader source);
 };
--- a/services/entry/include/godwit/entry/host_cell.hpp
+++ b/services/entry/include/godwit/entry/host_cell.hpp
@@ -8,8 +8,8 @@
 
 namespace godwit::entry {
 
-/// Hosts that are linked pairwise and know each other's work exactly; other
-/// cells hear the sums of it.
+/// A group of hosts that are linked pairwise and know each other's load
+/// exactly; other cells receive only sums of it.
 struct host_cell
 {
     placement::host_group name;
@@ -18,16 +18,16 @@
     friend bool operator==(const host_cell&, const host_cell&) = default;
 };
 
-/// The cells of a fleet, the same at each host that knows the same hosts. Up
-/// to `max_full_mesh_hosts` hosts are one cell; beyond, a cell has at most
-/// `max_cell_hosts` hosts, of one zone.
+/// Divides a fleet into cells. The result is the same at each host that knows
+/// the same hosts. Up to `max_full_mesh_hosts` hosts are one cell; beyond, a
+/// cell has at most `max_cell_hosts` hosts, all of one zone.
 [[nodiscard]] std::vector<host_cell>
 divide_into_cells(std::vector<known_host> hosts);
 
 /// Fleets up to this size are linked pairwise.
 inline constexpr std::size_t max_full_mesh_hosts = 9;
 
-/// Hosts of one zone that are linked pairwise.
+/// Maximum number of hosts in a cell of a larger fleet.
 inline constexpr std::size_t max_cell_hosts = 32;
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/known_host.hpp
+++ b/services/entry/include/godwit/entry/known_host.hpp
@@ -5,7 +5,7 @@
 
 namespace godwit::entry {
 
-/// An entry host, and where other entry hosts reach it.
+/// An entry host, and the address at which other entry hosts reach it.
 struct known_host
 {
     core::host_name name;
--- a/services/entry/include/godwit/entry/link_claims.hpp
+++ b/services/entry/include/godwit/entry/link_claims.hpp
@@ -9,19 +9,20 @@
 
 namespace godwit::entry {
 
-/// Which backend servers' links other hosts need for themselves now. A
-/// generation that has stopped for its last copy must not wait behind a
-/// whole copy that another host begins: callers notice the pause.
+/// The network links of backend servers that other hosts have claimed for their
+/// migrations. A generation that is paused for its last copy must not wait
+/// behind a full copy that another host starts: callers notice the pause.
 class link_claims
 {
 public:
-    /// `host` needs the links until `until`; replaces its earlier claim.
+    /// Sets the links that `host` needs until `until`; replaces its earlier
+    /// claim.
     void update(
         const core::host_name& host,
         std::vector<placement::server_id> servers,
         core::time_point until);
 
-    /// Whether another host needs one of the links now.
+    /// Returns whether another host has claimed one of the links at `now`.
     [[nodiscard]] bool is_claimed(
         const std::vector<placement::server_id>& servers,
         core::time_point now) const;
--- a/services/entry/include/godwit/entry/load_conversion.hpp
+++ b/services/entry/include/godwit/entry/load_conversion.hpp
@@ -8,17 +8,17 @@
 
 namespace godwit::entry {
 
-/// Work at a server as hosts tell each other.
+/// Converts the load of a server to its wire form.
 [[nodiscard]] wire::server_work
 to_wire(const placement::server_id& server, const placement::work_size& work);
 
-/// What another host told, as the ledger takes it.
+/// The load that another host reported, in the form of the load ledger.
 struct received_load
 {
     std::vector<placement::server_work> work;
-    /// Gaps between events that no running streams can have. They are not
-    /// taken over: a false one would make a sound server look slow, or hide a
-    /// slow one.
+    /// Number of gaps between events that the running streams cannot have. They
+    /// are dropped: a false one would make a healthy server look slow, or hide
+    /// a slow one.
     std::size_t refused_gaps = 0;
 
     friend bool
@@ -26,6 +26,6 @@
 };
 
 [[nodiscard]] received_load
-from_wire(const std::vector<wire::server_work>& said);
+from_wire(const std::vector<wire::server_work>& loads);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/neighbour_links.hpp
+++ b/services/entry/include/godwit/entry/neighbour_links.hpp
@@ -18,27 +18,28 @@
 
 namespace godwit::entry {
 
-/// What the links ask of their host, and tell it.
+/// Callbacks of the links to their host.
 struct neighbour_handlers
 {
-    /// What this neighbour should know at once, now that its link is open.
+    /// Returns the messages to send to this neighbour now that its link is
+    /// open.
     std::function<std::vector<wire::message>(const wire::hello&)>
         initial_messages;
-    /// A neighbour said something over its link, which is introduced.
+    /// A neighbour sent a message over its link, whose hello has been received.
     std::function<void(const std::shared_ptr<wire::link>&, wire::message)>
         on_message;
 };
 
-/// Who is told something.
+/// The recipients of a broadcast.
 enum class audience
 {
     all,
-    cell,        ///< The hosts of the own cell.
+    cell,        ///< The hosts of this host's cell.
     other_cells, ///< The hosts of other cells.
 };
 
-/// The links to some other entry hosts. Each is on its own: a neighbour that
-/// freezes, is cut off or loses power costs its own link only. Used on one
+/// The links to some other entry hosts. Each is independent: a neighbour that
+/// freezes, is cut off or loses power affects its own link only. Used on one
 /// executor.
 class neighbour_links
 {
@@ -54,43 +55,43 @@
 
     ~neighbour_links();
 
-    /// Begins to accept, and to connect to the settings' seeds.
+    /// Starts to accept links and to connect to the settings' seeds.
     void start();
 
-    /// Connects to the settings' seeds, those that are not linked yet.
+    /// Connects to those of the settings' seeds that are not linked yet.
     void connect_seeds();
 
-    /// The hosts that are known now; links to others end.
+    /// Sets the hosts that are known now and closes links to others.
     void set_hosts(const std::vector<known_host>& hosts);
 
-    /// Sends to the neighbours of the audience whose links are open.
+    /// Sends to those recipients whose links are open.
     void broadcast(
         const wire::message& message, audience recipients = audience::all);
 
-    /// The own cell's name; empty until the hosts are known.
+    /// Returns the name of this host's cell; empty until the hosts are known.
     [[nodiscard]] const placement::host_group& cell() const noexcept
     {
         return cell_;
     }
 
-    /// Whether the host is of the own cell. Until the hosts are known,
-    /// everybody is.
+    /// Returns whether the host is in this host's cell. Until the hosts are
+    /// known, all hosts are.
     [[nodiscard]] bool is_cell_peer(const core::host_name& host) const;
 
-    /// The other hosts of the own cell.
+    /// Returns the other hosts of this host's cell.
     [[nodiscard]] const std::set<core::host_name>& cell_peers() const noexcept
     {
         return cell_peers_;
     }
 
-    /// An open link to the host, or null.
+    /// Returns an open link to the host, or null.
     [[nodiscard]] std::shared_ptr<wire::link>
     link_to(const core::host_name& host) const;
 
-    /// Number of hosts of the own cell with an open link.
+    /// Returns the number of hosts in this host's cell with an open link.
     [[nodiscard]] std::size_t linked_cell_peers() const;
 
-    /// Neighbours whose links are open.
+    /// Returns the number of neighbours with an open link.
     [[nodiscard]] std::size_t open_links() const { return links().size(); }
 
 private:
--- a/services/entry/include/godwit/entry/neighbour_selection.hpp
+++ b/services/entry/include/godwit/entry/neighbour_selection.hpp
@@ -7,11 +7,11 @@
 
 namespace godwit::entry {
 
-/// The hosts to which `self` opens a link: each pair of a cell has one, and
-/// each host has one to its counterpart in every other cell, over which the
-/// cells tell their sums. With few cells a second counterpart stands in for
-/// the first. News reaches everybody in three steps, and a host's work grows
-/// with the number of cells alone.
+/// Selects the hosts to which `self` opens a link. Each pair of hosts in a cell
+/// has one, and each host has one to its counterpart in every other cell, over
+/// which the cells exchange their load sums. With few cells a second
+/// counterpart is the backup of the first. Messages reach every host in three
+/// hops, and a host's work grows only with the number of cells.
 [[nodiscard]] std::vector<known_host> select_neighbours(
     const std::vector<host_cell>& cells, const core::host_name& self);
 
--- a/services/entry/include/godwit/entry/report_poller.hpp
+++ b/services/entry/include/godwit/entry/report_poller.hpp
@@ -10,13 +10,13 @@
 
 namespace godwit::entry {
 
-/// Asks the servers that run this host's streams whether they leave, while
-/// the list of servers cannot be read. Without it an outage of the list
-/// would cost every stream whose server leaves meanwhile.
+/// Polls the servers that run this host's streams for whether they are
+/// draining, while the list of servers cannot be read. Without it an outage of
+/// the list would cost every stream whose server ends meanwhile.
 class report_poller
 {
 public:
-    /// `on_draining` is called for a server that says that it leaves.
+    /// `on_draining` is called for a server that reports that it is draining.
     report_poller(
         entry_context& context,
         std::function<void(const placement::backend_server&)> on_draining);
@@ -24,10 +24,10 @@
     report_poller(const report_poller&) = delete;
     report_poller& operator=(const report_poller&) = delete;
 
-    /// Asks each server that runs streams and is not being asked.
+    /// Polls each server that runs streams and has no poll pending.
     void poll_servers_in_use();
 
-    /// Asks every usable engine that is not being asked.
+    /// Polls every usable engine that has no poll pending.
     void poll_all_engines();
 
 private:
--- a/services/entry/include/godwit/entry/server_id_list.hpp
+++ b/services/entry/include/godwit/entry/server_id_list.hpp
@@ -7,8 +7,8 @@
 
 namespace godwit::entry {
 
-/// The first few of the servers' names with commas between them: a line of
-/// the log stays short, however many servers there are.
+/// Joins the first few server ids with commas, which keeps a log line short
+/// however many servers there are.
 [[nodiscard]] std::string
 join_first_ids(const std::vector<placement::server_id>& servers);
 
--- a/services/entry/include/godwit/entry/server_limit_exchange.hpp
+++ b/services/entry/include/godwit/entry/server_limit_exchange.hpp
@@ -10,7 +10,7 @@
 
 namespace godwit::entry {
 
-/// Converts a limit to its wire form, with the age of the server's answer at
+/// Converts a limit to its wire form, with the age of the server's response at
 /// `now`. `sends` is the number of requests that this host sent.
 [[nodiscard]] wire::server_limit to_wire(
     const placement::server_limit& limit, unsigned sends, core::time_point now);
@@ -23,12 +23,12 @@
 /// Counts a request to the server, and reports it if the server is limited.
 void record_request(entry_context& context, const placement::server_id& server);
 
-/// Applies the limit in the answer to a request that was sent at `sent_at`, and
-/// reports it if it changed.
+/// Applies the limit in the response to a request that was sent at `sent_at`,
+/// and reports it if it changed.
 void update_limit(
     entry_context& context,
     const placement::backend_server& server,
-    const response_metadata& terms,
+    const response_metadata& metadata,
     core::time_point sent_at);
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/server_list_outage.hpp
+++ b/services/entry/include/godwit/entry/server_list_outage.hpp
@@ -8,42 +8,47 @@
 
 namespace godwit::entry {
 
-/// Tells whether entries that the list of servers dropped may have lapsed
-/// because its source was away or lost them, or only this host was cut off from
-/// it. While the source serves others it drops nobody that lives.
+/// Tells whether entries that disappeared from the list of servers may have
+/// expired because its source was unavailable or lost them, or whether only
+/// this host was cut off from it. While the source serves other hosts, it drops
+/// no entry of a live server.
 class server_list_outage
 {
 public:
-    /// After a loss others may still say for this long that they read the
-    /// list: as long as their own pending read may take to fail.
+    /// Time after this host lost the source during which other hosts may still
+    /// report that they read the list: as long as their own pending read may
+    /// take to fail.
     static constexpr core::duration loss_detection_time =
         std::chrono::milliseconds(2600);
-    /// Others may notice the source's return this much earlier.
+    /// Other hosts may notice the source's recovery earlier than this host by
+    /// up to this time.
     static constexpr core::duration recovery_detection_skew =
         std::chrono::milliseconds(800);
-    /// Entries that lapsed show as dropped this long after the return.
+    /// Expired entries show as dropped for this time after the source's
+    /// recovery.
     static constexpr core::duration recovery_period = std::chrono::seconds(4);
 
-    /// This host reads the list, or cannot.
+    /// Sets whether this host can read the list.
     void set_current(bool is_current, core::time_point now);
 
-    /// The source restarted from an older copy: servers whose entries it lost
-    /// list themselves again.
+    /// Records that the source restarted from an older copy: servers whose
+    /// entries it lost register again.
     void record_restore(core::time_point now);
 
-    /// A neighbour said that it reads the list.
+    /// Records that a neighbour reported that it reads the list.
     void record_neighbour_read(core::time_point now);
 
     [[nodiscard]] bool is_current() const noexcept { return is_current_; }
 
-    /// How to take an entry that is dropped now.
+    /// Returns how to interpret an entry that is dropped at `now`.
     [[nodiscard]] placement::source_state state_at(core::time_point now) const;
 
 private:
     bool is_current_ = false;
     std::optional<core::time_point> lost_at_;
-    /// The first word of the outage that proves that others were served.
-    std::optional<core::time_point> others_served_at_;
+    /// The first report during the outage which proves that other hosts were
+    /// served.
+    std::optional<core::time_point> others_served_since_;
     core::time_point recovering_until_{};
 };
 
--- a/services/entry/include/godwit/entry/server_list_readers.hpp
+++ b/services/entry/include/godwit/entry/server_list_readers.hpp
@@ -11,57 +11,61 @@
 
 namespace godwit::entry {
 
-/// Which hosts read the list of servers at its source, and what falls to this
-/// one. Nobody is elected: the first host by name that reads is known from
-/// what hosts say, and the next one reads when it falls silent.
+/// Tracks which hosts read the list of servers at its source, and decides
+/// whether this one has to. There is no election: the first reader by host name
+/// is known from the hosts' reports, and the next one takes over when its
+/// reports stop.
 ///
-/// Answers fleets of hundreds of hosts: each call to the source has its
-/// price, and what one host reads its neighbours hear within milliseconds.
+/// This serves fleets of hundreds of hosts: each call to the source has its
+/// cost, and what one host reads reaches its neighbours within milliseconds.
 class server_list_readers
 {
 public:
-    /// A host whose word is older, over several hosts, may have gone.
+    /// A host whose latest report, possibly relayed by several hosts, is older
+    /// than this may have stopped.
     static constexpr core::duration report_lifetime = std::chrono::seconds(2);
-    /// A host is a reader for so long after each of its reads: as long as
-    /// the next one may be held open and paused.
+    /// This host counts as a reader for this time after each of its reads: as
+    /// long as the next one may be held open by the source and paused before.
     static constexpr core::duration reader_lifetime =
         std::chrono::milliseconds(3500);
 
     explicit server_list_readers(core::host_name self) : self_(std::move(self))
     {}
 
-    /// This host read the list just now.
+    /// Records that this host read the list at `now`.
     void record_own_read(core::time_point now) { last_own_read_at_ = now; }
 
-    /// This host cannot read it.
+    /// Records that this host cannot read the list.
     void clear_own_read() { last_own_read_at_.reset(); }
 
-    /// The host says itself whether it reads the list.
+    /// Records the host's own report whether it reads the list.
     void record_report(
         const core::host_name& host, bool reads_list, core::time_point now);
 
-    /// Others heard the host say that it reads the list, at that moment.
+    /// Records a relayed report that the host reads the list, made at
+    /// `reported_at`.
     void record_indirect_report(
         const core::host_name& host, core::time_point reported_at);
 
-    /// Whether this host is a reader.
+    /// Returns whether this host is a reader.
     [[nodiscard]] bool is_reader(core::time_point now) const;
 
-    /// The first other host by name that reads the list, and when it was
-    /// last heard to.
+    /// Returns the first other host by name that reads the list, and the time
+    /// of its latest report.
     [[nodiscard]] std::optional<std::pair<core::host_name, core::time_point>>
     first_other_reader(core::time_point now) const;
 
-    /// Whether no host before this one by name reads the list: then it reads
-    /// at the quick pace and tells the others.
+    /// Returns whether no host that precedes this one by name reads the list.
+    /// This host then polls at the short interval and broadcasts changes to the
+    /// others.
     [[nodiscard]] bool is_primary(core::time_point now) const;
 
-    /// Whether one of these hosts, before this one by name, reads the list,
-    /// so that this one need not.
+    /// Returns whether one of these hosts that precedes this one by name reads
+    /// the list, so that this one need not.
     [[nodiscard]] bool has_earlier_reader(
         const std::set<core::host_name>& peers, core::time_point now) const;
 
-    /// Whether any of these hosts reads the list.
+    /// Returns whether any of these hosts reads the list.
     [[nodiscard]] bool has_reader(
         const std::set<core::host_name>& peers, core::time_point now) const;
 
@@ -75,7 +79,7 @@
 
     core::host_name self_;
     std::optional<core::time_point> last_own_read_at_;
-    reports last_reports_; ///< When each was last heard to read the list.
+    reports last_reports_; ///< By reader, its latest report.
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/server_report.hpp
+++ b/services/entry/include/godwit/entry/server_report.hpp
@@ -4,11 +4,11 @@
 
 namespace godwit::entry {
 
-/// What a backend server says of itself when it is asked.
+/// A backend server's own report of its state, in response to a poll.
 struct server_report
 {
-    bool is_draining = false; ///< It takes nothing new, and ends soon.
-    placement::server_start start = {}; ///< Of the life that answered.
+    bool is_draining = false; ///< Takes no new requests and ends soon.
+    placement::server_start start = {}; ///< Of the process that responded.
 
     friend bool
     operator==(const server_report&, const server_report&) = default;
--- a/services/entry/include/godwit/entry/table_history.hpp
+++ b/services/entry/include/godwit/entry/table_history.hpp
@@ -11,35 +11,36 @@
 
 namespace godwit::entry {
 
-/// The route table in force as its operator wrote it, and the changes that led
-/// to it: what a neighbour needs that has this or an earlier version.
+/// The text of the active route table as its operator wrote it, and the changes
+/// that led to it: what a neighbour needs that has this or an earlier version.
 class table_history
 {
 public:
-    /// A host that lacks more versions gets the whole table.
+    /// A host that lacks more versions gets the full table.
     static constexpr std::size_t max_steps = 16;
 
-    /// A version that came whole; how it follows from the one before is worked
-    /// out here. Without memory for that neighbours get it whole.
+    /// Sets a version that was received in full and computes the change from
+    /// the one before it. If there is no memory for that, neighbours get the
+    /// full table.
     void set_full(std::uint64_t version, std::string text);
 
-    /// A version that `apply` made of `changes`, which are handed on as they
-    /// came.
+    /// Sets a version that `apply` made from `changes`, which are forwarded to
+    /// neighbours as they were received.
     void set_from_changes(std::string text, const wire::table_changes& changes);
 
-    /// The text that the changes lead to. Fails with `expired` when they begin
-    /// at another text than the one in force, with `protocol` when they cannot
-    /// be applied or lead to another text than they say.
+    /// Returns the text that results from the changes. Fails with `expired` if
+    /// they start from another text than the active one, with `protocol` if
+    /// they cannot be applied or result in another text than they state.
     [[nodiscard]] core::result<std::string>
     apply(const wire::table_changes& changes) const;
 
-    /// What leads from the text with the digest `base` to the one in force, or
-    /// to it from nothing where that text is not known. Fails with `exhausted`
-    /// when there is no memory for it, or no table.
+    /// Returns the changes from the text with the digest `base` to the active
+    /// one, or the full text if that base is not known. Fails with `exhausted`
+    /// if there is no memory for it or no active table.
     [[nodiscard]] core::result<wire::table_changes>
     changes_from(const std::string& base);
 
-    /// The digest of the text in force; empty before the first.
+    /// Returns the digest of the active text; empty before the first.
     [[nodiscard]] const std::string& digest() const noexcept { return digest_; }
 
     [[nodiscard]] const std::string& text() const noexcept { return text_; }
@@ -47,7 +48,7 @@
 private:
     struct stored_step
     {
-        std::string base; ///< The digest of the text that it begins at.
+        std::string base; ///< The digest of the text it applies to.
         wire::table_step step;
     };
 
@@ -55,10 +56,10 @@
     void replace(std::uint64_t version, std::string text, std::string digest);
 
     std::string text_;
-    std::string digest_; ///< The digest of it.
+    std::string digest_; ///< Of `text_`.
     std::uint64_t version_ = 0;
-    std::deque<stored_step> steps_; ///< Each begins where the last one ends.
-    std::optional<wire::table_step> full_step_; ///< Made when first asked for.
+    std::deque<stored_step> steps_; ///< Each applies to the result of the last.
+    std::optional<wire::table_step> full_step_; ///< Computed on first use.
 };
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/table_loader.hpp
+++ b/services/entry/include/godwit/entry/table_loader.hpp
@@ -15,38 +15,39 @@
 
 namespace godwit::entry {
 
-/// A text of the route table that came to this host.
+/// A route table as received by this host, not parsed yet.
 struct received_table
 {
     std::string text;
     std::string source;
-    std::size_t received_bytes = 0; ///< That came over the link for it.
-    /// How it follows from the one in force, where it came as that.
+    std::size_t received_bytes = 0; ///< Of the text or changes received.
+    /// The changes that it was made from, if it was received as changes.
     std::optional<wire::table_changes> changes = {};
 };
 
-/// Reads arrived tables one after the other in slices, between which the
-/// executor serves what else is ready. A large table would otherwise hold up
-/// every request for as long as its reading takes.
+/// Parses received tables one after the other in slices, between which the
+/// executor runs other ready work. A large table would otherwise block every
+/// request for as long as its parsing takes.
 class table_loader
 {
 public:
-    /// What it asks of its host, and tells it.
+    /// Callbacks to the owner.
     struct handlers
     {
-        /// Begins to read a text, which stays until the reading's end.
+        /// Starts to parse a text, which stays valid until the end of parsing.
         std::function<table_parser(std::string_view)> start_parsing;
-        /// Whether the text is worth reading; asked before its reading.
+        /// Returns whether the text needs to be parsed; called before its
+        /// parsing starts.
         std::function<bool(const received_table&)> is_new;
-        /// It was read, or cannot be.
+        /// Called when the table was parsed, or turned out to be invalid.
         std::function<void(
             received_table,
             const core::result<std::shared_ptr<const routing::route_table>>&)>
             on_parsed;
     };
 
-    /// Tables that wait; beyond it the oldest one is dropped, as only the
-    /// newest has to come into force.
+    /// Maximum number of waiting tables. Beyond it the oldest one is dropped,
+    /// as only the newest has to become active.
     static constexpr std::size_t max_waiting = 4;
 
     table_loader(boost::asio::any_io_executor executor, handlers callbacks);
@@ -54,15 +55,15 @@
     table_loader(const table_loader&) = delete;
     table_loader& operator=(const table_loader&) = delete;
 
-    /// The object must live as long as the executor runs.
+    /// Queues a table. The object has to outlive the executor's run.
     void add(received_table table);
 
-    /// Whether a table is being read.
+    /// Returns whether a table is being parsed.
     [[nodiscard]] bool is_busy() const noexcept { return is_running_; }
 
 private:
     boost::asio::awaitable<void> run();
-    boost::asio::awaitable<void> read(received_table table);
+    boost::asio::awaitable<void> parse(received_table table);
 
     boost::asio::any_io_executor executor_;
     handlers handlers_;
--- a/services/entry/include/godwit/entry/table_parser.hpp
+++ b/services/entry/include/godwit/entry/table_parser.hpp
@@ -9,13 +9,13 @@
 
 namespace godwit::entry {
 
-/// What a slice of the reading of a route table gives: nothing while there is
-/// more to do, then the table, or why it cannot be read.
+/// The result of one slice of parsing a route table: empty while there is more
+/// to do, then the table, or why it is invalid.
 using table_parse_result =
     std::optional<core::result<std::shared_ptr<const routing::route_table>>>;
 
-/// A route table that is being read: each call does a slice of the work, short
-/// enough for requests that wait meanwhile. Not called again after its end.
+/// Parses a route table: each call does one slice of the work, short enough for
+/// requests that wait meanwhile. Not called again after its end.
 using table_parser = std::function<table_parse_result()>;
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/table_request_queue.hpp
+++ b/services/entry/include/godwit/entry/table_request_queue.hpp
@@ -12,7 +12,7 @@
 
 namespace godwit::entry {
 
-/// A connection that tells how much of what it was given is not sent yet.
+/// A connection that knows how many of its bytes are not sent yet.
 template<class Link>
 concept queueing_link = requires(const Link& link)
 {
@@ -24,16 +24,18 @@
         } -> std::same_as<std::size_t>;
 };
 
-/// The neighbours that asked this host for its route table. Each waits until
-/// the link is nearly done with the answers before: sent together, all of them
-/// would wait for the last one's, and so would the requests that share it.
+/// Queue of neighbours' requests for this host's route table. Each waits until
+/// earlier responses have nearly been sent: sent together, all of them would
+/// arrive only with the last one, and other messages that share the link would
+/// wait as long.
 template<queueing_link Link, class Request>
 class table_request_queue
 {
 public:
-    /// What may wait to be sent to askers when the next one is served.
+    /// Bytes of earlier responses that may be unsent when the next one is
+    /// started.
     static constexpr std::size_t max_queued_bytes = std::size_t{64} * 1024;
-    /// Whoever has waited longer asks another neighbour meanwhile.
+    /// A neighbour that has waited longer has meanwhile asked another one.
     static constexpr core::duration max_wait = std::chrono::seconds(1);
 
     void add(std::shared_ptr<Link> link, Request request, core::time_point now)
@@ -41,7 +43,7 @@
         waiting_.push_back({std::move(link), std::move(request), now});
     }
 
-    /// Calls `send` with the links that are to get an answer now.
+    /// Calls `send` for each request that is to be answered now.
     template<std::invocable<Link&, const Request&> Send>
     void serve(core::time_point now, const Send& send)
     {
--- a/services/entry/src/cell_load_reporter.cpp
+++ b/services/entry/src/cell_load_reporter.cpp
@@ -29,7 +29,8 @@
     const std::vector<placement::server_work>& sums,
     core::time_point now)
 {
-    // Nobody has heard the sums of this cell, if the host came into another.
+    // If this host moved to another cell, no sums of that cell were reported
+    // yet.
     if (cell != cell_)
         reported_.clear();
     cell_ = cell;
@@ -48,7 +49,7 @@
         if (before != reported_.end())
             reported_.erase(before);
     }
-    // What is left has no work any more.
+    // The remaining servers have no load any more.
     if (!report.is_whole) {
         for (const auto& [server, work] : reported_)
             report.work.push_back(to_wire(server, work_size()));
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -20,41 +20,43 @@
 namespace {
 
 constexpr std::string_view component = "entry";
-// How often waiting requests try again and lapsed servers are looked at.
+// How often waiting requests are retried and expired servers are removed.
 constexpr core::duration tick_interval = std::chrono::milliseconds(50);
 // An interval between two ticks of at least this length is logged: the process
 // was suspended, stopped or starved of CPU time.
 constexpr core::duration stall_threshold = std::chrono::seconds(1);
-// How long a host that starts beside others may take until it has heard one.
+// How long a host that joins a fleet waits for the first message of another
+// host.
 constexpr core::duration first_message_timeout = std::chrono::seconds(1);
-// A server gives about two seconds of notice, of which the copies need one.
+// A server gives about two seconds of notice before it ends, of which the
+// copies of its KV caches need one.
 constexpr core::duration outage_poll_interval = std::chrono::milliseconds(250);
-// Events come some thirty milliseconds apart; a batch that reads several
+// Events of a stream arrive some 30 ms apart; a batch that prefills several
 // prompts at once is slower by a factor of five.
 constexpr core::duration unresponsive_threshold =
     std::chrono::milliseconds(700);
-// Of about two seconds of notice the copies need one; each question has its
-// price.
+// A server gives about two seconds of notice, of which the copies need one;
+// each poll has its cost.
 constexpr core::duration regular_poll_interval = std::chrono::milliseconds(600);
 // The settings file may change without a signal.
 constexpr core::duration reload_interval = std::chrono::seconds(5);
-// The table's limits come from outside; a buffer of this size a connection
-// is the most that the memory of a small host can bear.
+// The limits in the route table are set by its operator; a buffer of this size
+// for each connection is the most that fits into the memory of a small host.
 constexpr std::size_t max_header_bytes = std::size_t{256} * 1024;
-// Memory for a body is set aside when it begins, as much as its caller says:
-// more than there is would end the process.
+// Memory for a body is allocated at its start, as much as its caller announces:
+// more than the host has would end the process.
 constexpr std::size_t max_body_bytes = std::size_t{64} * 1024 * 1024;
 
 http::server_limits
 clamp_limits(const routing::caller_limits& limits, std::size_t connections)
 {
-    http::server_limits made;
-    made.header_bytes = std::min(limits.header_bytes, max_header_bytes);
-    made.body_bytes = std::min(limits.body_bytes, max_body_bytes);
-    made.header_timeout = limits.header_timeout;
-    made.idle_timeout = limits.idle_timeout;
-    made.connections = connections;
-    return made;
+    http::server_limits clamped;
+    clamped.header_bytes = std::min(limits.header_bytes, max_header_bytes);
+    clamped.body_bytes = std::min(limits.body_bytes, max_body_bytes);
+    clamped.header_timeout = limits.header_timeout;
+    clamped.idle_timeout = limits.idle_timeout;
+    clamped.connections = connections;
+    return clamped;
 }
 
 http::response reject(const http::rejection& why)
@@ -72,12 +74,12 @@
 core::result<std::unique_ptr<entry_process>> entry_process::create(
     asio::io_context& io, entry_settings settings, const codec_functions& codec)
 {
-    std::unique_ptr<entry_process> made(
+    std::unique_ptr<entry_process> process(
         new entry_process(io, std::move(settings), codec));
-    const auto listening = made->listen();
+    const auto listening = process->listen();
     if (!listening)
         return tl::unexpected(listening.error());
-    return made;
+    return process;
 }
 
 entry_process::entry_process(
@@ -97,9 +99,9 @@
               }}),
       readers_(context_.settings.host),
       reports_(context_, [this](const placement::backend_server& server) {
-          placement::backend_server leaving = server;
-          leaving.state = placement::server_state::draining;
-          add_or_update_server(leaving, "report");
+          placement::backend_server draining = server;
+          draining.state = placement::server_state::draining;
+          add_or_update_server(draining, "report");
           neighbours_->broadcast(wire::server_sign{
               core::server_address(server.address.to_string()),
               wire::sign_kind::leaving,
@@ -126,15 +128,15 @@
         io_,
         http::server_settings{
             context_.settings.readiness, {}, {}, &log_connection_fault},
-        [this](http::exchange& asked) -> asio::awaitable<void> {
-            co_await answer_readiness(asked);
+        [this](http::exchange& exchange) -> asio::awaitable<void> {
+            co_await answer_readiness(exchange);
         }));
     operators_ = GODWIT_TRY(http::server::create(
         io_,
         http::server_settings{
             context_.settings.operators, {}, {}, &log_connection_fault},
-        [this](http::exchange& asked) -> asio::awaitable<void> {
-            co_await answer_operator(asked);
+        [this](http::exchange& exchange) -> asio::awaitable<void> {
+            co_await answer_operator(exchange);
         }));
     neighbours_ = GODWIT_TRY(neighbour_links::create(
         io_.get_executor(),
@@ -142,8 +144,9 @@
         neighbour_handlers{
             [this](const wire::hello& peer) { return initial_messages(peer); },
             [this](
-                const std::shared_ptr<wire::link>& from, wire::message said) {
-                handle_message(from, std::move(said));
+                const std::shared_ptr<wire::link>& from,
+                wire::message message) {
+                handle_message(from, std::move(message));
             }}));
     return {};
 }
@@ -155,8 +158,8 @@
     signals_.add(SIGINT, ignored);
     signals_.add(SIGHUP, ignored);
     wait_for_signal();
-    context_.broadcast = [this](const wire::message& said) {
-        neighbours_->broadcast(said);
+    context_.broadcast = [this](const wire::message& message) {
+        neighbours_->broadcast(message);
     };
     context_.on_work_added = [this] {
         schedule_load_broadcast();
@@ -166,13 +169,13 @@
     };
     context_.broadcast_limit =
         [this](const placement::server_limit& limit, unsigned sends) {
-            tell_limit(limit, sends);
+            broadcast_limit(limit, sends);
         };
     context_.is_refreshing = [this] {
         return is_refreshing();
     };
     context_.may_have_stale_routes = [this] {
-        return may_lack_version();
+        return may_have_stale_routes();
     };
     neighbours_->start();
     started_at_ = core::monotonic_now();
@@ -201,16 +204,16 @@
     const placement::backend_server& server, std::string_view source)
 {
     const placement::backend_server* known = context_.directory.find(server.id);
-    const http::endpoint former =
+    const http::endpoint previous_address =
         known != nullptr ? known->address : server.address;
     switch (context_.directory.listed(server, core::monotonic_now())) {
     case placement::directory_change::none:
         return;
     case placement::directory_change::left:
-        on_server_leaving(server.id, source);
+        on_server_draining(server.id, source);
         return;
     case placement::directory_change::restarted:
-        on_server_restarted(server.id, former, source);
+        on_server_restarted(server.id, previous_address, source);
         break;
     case placement::directory_change::appeared:
         break;
@@ -218,7 +221,7 @@
     if (context_.directory.is_usable(server.id))
         on_server_added(server, source);
     else
-        on_server_leaving(server.id, source);
+        on_server_draining(server.id, source);
 }
 
 void entry_process::on_server_added(
@@ -227,7 +230,7 @@
     unsent_servers_.insert(server.id);
     context_.connections->forget(server.address);
     context_.queue.wake_first();
-    // Those of the first list are told together.
+    // The servers of the first list are logged together.
     if (!has_servers_)
         return;
     log_event(
@@ -240,9 +243,9 @@
          {"source", source}});
 }
 
-// Connections, failures and runs were the former life's. Reservations end
-// with the streams that hold them: each still waits for its own connection to
-// say how it ended.
+// Connections, failures and runs belong to the server's previous process.
+// Reservations end with the streams that hold them: each stream still waits for
+// its own connection to report how it ended.
 void entry_process::on_server_restarted(
     const placement::server_id& server,
     const http::endpoint& address,
@@ -277,10 +280,10 @@
     const auto change =
         context_.directory.delisted(server, outage_.state_at(now), now);
     if (change == placement::directory_change::left)
-        on_server_leaving(server, source);
+        on_server_draining(server, source);
 }
 
-void entry_process::on_server_leaving(
+void entry_process::on_server_draining(
     const placement::server_id& server, std::string_view source)
 {
     log_event(
@@ -288,7 +291,8 @@
         component,
         "server_left",
         {{"server", server}, {"source", source}});
-    // At once, and on from host to host: the notice is short.
+    // Broadcast at once and forwarded from host to host, as the server gives
+    // short notice.
     unsent_servers_.insert(server);
     broadcast_changed_servers();
     context_.health.forget(server);
@@ -343,9 +347,9 @@
         fleet_hosts_.insert(host.name);
     is_fleet_known_ = true;
     neighbours_->set_hosts(hosts);
-    // Hosts that join may split a cell. The work of those that are in another
-    // one now would count twice, with that cell's sums, and engines with room
-    // would look full.
+    // Hosts that join may split a cell. The load of those that are now in
+    // another cell would count twice, once with that cell's sums, and engines
+    // with free capacity would look full.
     if (!neighbours_->cell().empty())
         context_.ledger.retain_neighbours(neighbours_->cell_peers());
     const auto is_unknown = [&hosts](const core::host_name& host) {
@@ -359,7 +363,7 @@
     std::erase_if(malformed_limits_from_, is_unknown);
 }
 
-// New requests at a server that hangs would be lost with those that run.
+// New requests at a server that hangs would be lost with those that run there.
 void entry_process::avoid_unresponsive_servers()
 {
     const core::time_point now = core::monotonic_now();
@@ -373,10 +377,10 @@
     }
 }
 
-// While nobody near can read the list, each host asks the servers of its own
-// streams often. While it can, the quick reader asks every engine now and then
-// for all: the list may be held up without a sign, since it says something only
-// when an entry changes.
+// While no host in the cell can read the list, each host often polls the
+// servers of its own streams. While this host can, the primary reader polls
+// every engine from time to time for all hosts: the source may be stuck without
+// a sign, since it sends data only when an entry changes.
 void entry_process::poll_reports()
 {
     const core::time_point now = core::monotonic_now();
@@ -391,8 +395,8 @@
         reports_.poll_all_engines();
 }
 
-// The clock and timers include the stall, so nothing is expired here. What the
-// sources said meanwhile is still to be read.
+// The clock and timers include the stall, so nothing is expired here. The
+// sources' updates from the time of the stall are still to be read.
 void entry_process::detect_stall()
 {
     const core::time_point now = core::monotonic_now();
@@ -413,7 +417,7 @@
     context_.on_resumed();
 }
 
-// Asked before a request is routed: its bytes may be seen before the first tick
+// Called before a request is routed: its bytes may arrive before the first tick
 // after a suspension.
 bool entry_process::is_refreshing()
 {
@@ -421,14 +425,14 @@
     return refresh_.is_pending(loader_.is_busy(), core::monotonic_now());
 }
 
-// A source that was restored may have an older version than the neighbours
-// hold, and a host that starts reads the source first.
-bool entry_process::may_lack_version() const
+// A source that was restored may have an older version than the neighbours, and
+// a host that starts reads the source first.
+bool entry_process::may_have_stale_routes() const
 {
-    const bool may_hear_one =
+    const bool may_receive_one =
         is_joining_fleet() && !has_received_version_ &&
         core::monotonic_now() - started_at_ < first_message_timeout;
-    return may_hear_one || table_fetches_.knows_newer_version() ||
+    return may_receive_one || table_fetches_.knows_newer_version() ||
            loader_.is_busy();
 }
 
@@ -436,8 +440,8 @@
 {
     detect_stall();
     last_tick_at_ = core::monotonic_now();
-    for (const auto& gone : context_.directory.expire(core::monotonic_now()))
-        on_server_leaving(gone, "lapsed");
+    for (const auto& expired : context_.directory.expire(core::monotonic_now()))
+        on_server_draining(expired, "lapsed");
     context_.quarantine.expire(core::monotonic_now());
     update_limit_share();
     context_.queue.wake_first();
@@ -447,7 +451,7 @@
     request_table();
     serve_table_requests();
     avoid_unresponsive_servers();
-    compare_paces();
+    detect_slow_servers();
     poll_reports();
     if (core::monotonic_now() - reloaded_at_ >= reload_interval)
         reload();
--- a/services/entry/src/entry_process_crashes.cpp
+++ b/services/entry/src/entry_process_crashes.cpp
@@ -20,7 +20,8 @@
 
 constexpr std::string_view component = "neighbours";
 
-// Whether a completed run of the request is known and no crash after it.
+// Returns whether a completed run of the request is known and no crash after
+// it.
 bool is_cleared(
     const admission::request_quarantine& quarantine,
     const admission::request_fingerprint& request)
@@ -71,15 +72,15 @@
         }));
 }
 
-// Forwards changes, so that they reach hosts to which their source has no link.
+// Forwards changes, so that they reach hosts to which their origin has no link.
 void entry_process::handle_crash_reports(
-    const core::host_name& host, const wire::crash_reports& said)
+    const core::host_name& host, const wire::crash_reports& message)
 {
     const core::time_point now = core::monotonic_now();
     wire::crash_reports changes;
-    // Requests that completed, though the neighbour has not heard of it.
+    // Requests that completed, which the neighbour does not know yet.
     wire::crash_reports corrections;
-    for (const wire::crash_report& received : said.reports) {
+    for (const wire::crash_report& received : message.reports) {
         const auto report = to_crash_report(received, now);
         if (!report) {
             reject_crash_reports(host, report.error());
@@ -97,7 +98,7 @@
             context_.quarantine.crash_count(report->request),
             context_.quarantine.is_quarantined(report->request));
     }
-    for (const std::string& completed : said.completed) {
+    for (const std::string& completed : message.completed) {
         const auto request = to_fingerprint(completed);
         if (!request) {
             reject_crash_reports(host, request.error());
@@ -115,7 +116,7 @@
         link->send(corrections);
 }
 
-// Counts every refused message, but logs only the first one from each host.
+// Counts every rejected message, but logs only the first one from each host.
 void entry_process::reject_crash_reports(
     const core::host_name& host, const core::error& why)
 {
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -20,9 +20,9 @@
 
 } // namespace
 
-// Reports requests to the own cell only, since each cell has its own share of
-// the limit, and changes of the limit to all neighbours.
-void entry_process::tell_limit(
+// Reports requests to this host's cell only, since each cell has its own share
+// of the limit, and changes of the limit to all neighbours.
+void entry_process::broadcast_limit(
     const placement::server_limit& limit, unsigned sends)
 {
     neighbours_->broadcast(
@@ -40,10 +40,10 @@
 }
 
 void entry_process::handle_limits(
-    const core::host_name& host, const wire::server_limits& said)
+    const core::host_name& host, const wire::server_limits& message)
 {
     const core::time_point now = core::monotonic_now();
-    for (const wire::server_limit& received : said.limits) {
+    for (const wire::server_limit& received : message.limits) {
         const auto limit = to_server_limit(received, now);
         if (!limit) {
             reject_limits(host, limit.error());
@@ -51,14 +51,14 @@
         }
         if (context_.limits.update_from_neighbour(*limit)) {
             log_server_limit(host.value(), *limit);
-            tell_limit(*limit, 0);
+            broadcast_limit(*limit, 0);
         }
         if (received.sends > 0 && neighbours_->is_cell_peer(host))
             context_.limits.record_requests(limit->server, received.sends, now);
     }
 }
 
-// Counts every refused message, but logs only the first one from each host.
+// Counts every rejected message, but logs only the first one from each host.
 void entry_process::reject_limits(
     const core::host_name& host, const core::error& why)
 {
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -22,12 +22,13 @@
 namespace {
 
 constexpr std::string_view component = "neighbours";
-// Neighbours forget what a host has at work after some seconds of silence.
+// Neighbours drop a host's load report after a few seconds without a new one.
 constexpr core::duration load_refresh_interval = std::chrono::milliseconds(500);
-// A neighbour that dies while it holds a link holds up others no longer.
+// Bounds how long a neighbour that fails while it claims a link holds up
+// others.
 constexpr core::duration max_link_claim = std::chrono::milliseconds(500);
-// Until a host that starts beside others has links to them and has heard who
-// reads the list.
+// How long a host that joins a fleet may take until it has links to other hosts
+// and their reports of who reads the list.
 constexpr core::duration joining_duration = std::chrono::seconds(4);
 
 bool differs_only_in_growth(
@@ -54,102 +55,103 @@
 std::vector<wire::message>
 entry_process::initial_messages(const wire::hello& peer) const
 {
-    std::vector<wire::message> said;
+    std::vector<wire::message> messages;
     if (context_.routes)
-        said.emplace_back(
+        messages.emplace_back(
             wire::catalogue_position{context_.routes->version(), 0});
     if (outage_.is_current())
-        said.emplace_back(servers_message());
-    said.emplace_back(load_message());
+        messages.emplace_back(servers_message());
+    messages.emplace_back(load_message());
     if (!context_.quarantine.empty())
-        said.emplace_back(crash_reports_message());
+        messages.emplace_back(crash_reports_message());
     if (!context_.limits.empty())
-        said.emplace_back(limits_message());
-    // Afterwards it hears what changes.
+        messages.emplace_back(limits_message());
+    // Later reports have the changes only.
     if (!neighbours_->is_cell_peer(peer.host)) {
         if (auto sums = load_reporter_.full(neighbours_->cell()))
-            said.emplace_back(std::move(*sums));
+            messages.emplace_back(std::move(*sums));
     }
-    return said;
+    return messages;
 }
 
 wire::listed_servers entry_process::servers_message() const
 {
-    wire::listed_servers said;
+    wire::listed_servers message;
     for (const auto& id : context_.directory.ids())
-        said.servers.push_back(server_entry(id));
-    return said;
+        message.servers.push_back(server_entry(id));
+    return message;
 }
 
 wire::listed_server
 entry_process::server_entry(const placement::server_id& id) const
 {
     const placement::backend_server& known = *context_.directory.find(id);
-    const bool is_leaving = !context_.directory.is_usable(id);
+    const bool is_draining = !context_.directory.is_usable(id);
     return wire::listed_server{
         id.value(),
         core::server_address(known.address.to_string()),
         known.zone,
         known.service,
         known.slots,
-        is_leaving ? wire::server_state::leaving : wire::server_state::live,
+        is_draining ? wire::server_state::leaving : wire::server_state::live,
         known.revision,
         known.start.unix_ms};
 }
 
 wire::host_work entry_process::load_message() const
 {
-    wire::host_work said;
+    wire::host_work message;
     for (const auto& [server, work] : context_.ledger.own())
-        said.work.push_back(to_wire(server, work));
+        message.work.push_back(to_wire(server, work));
     const core::time_point now = core::monotonic_now();
-    said.reads_list = readers_.is_reader(now);
+    message.reads_list = readers_.is_reader(now);
     const auto reader = readers_.first_other_reader(now);
-    const bool is_ahead =
-        reader && (!said.reads_list || reader->first < context_.settings.host);
-    if (is_ahead) {
-        said.reader = reader->first.value();
-        said.reader_age_ms = wire_age_ms(now - reader->second);
+    const bool should_relay_reader =
+        reader &&
+        (!message.reads_list || reader->first < context_.settings.host);
+    if (should_relay_reader) {
+        message.reader = reader->first.value();
+        message.reader_age_ms = wire_age_ms(now - reader->second);
     }
-    return said;
+    return message;
 }
 
 void entry_process::broadcast_changed_servers()
 {
     if (unsent_servers_.empty())
         return;
-    wire::listed_servers said;
+    wire::listed_servers message;
     for (const auto& id : std::exchange(unsent_servers_, {})) {
         if (context_.directory.find(id) != nullptr)
-            said.servers.push_back(server_entry(id));
+            message.servers.push_back(server_entry(id));
     }
-    neighbours_->broadcast(said);
+    neighbours_->broadcast(message);
 }
 
 void entry_process::broadcast_load()
 {
     const core::time_point now = core::monotonic_now();
-    wire::host_work said = load_message();
-    // Runs grow with each event; that alone may wait.
-    if (differs_only_in_growth(said, last_sent_load_) &&
+    wire::host_work message = load_message();
+    // Runs grow with each event; growth alone is broadcast at the next refresh.
+    if (differs_only_in_growth(message, last_sent_load_) &&
         now - load_sent_at_ < load_refresh_interval)
         return;
-    neighbours_->broadcast(said, audience::cell);
-    last_sent_load_ = std::move(said);
+    neighbours_->broadcast(message, audience::cell);
+    last_sent_load_ = std::move(message);
     load_sent_at_ = now;
 }
 
-// Hosts of other cells need no more than the sums of this one; each of them
-// hears them from its counterparts here. Who has not heard most of its cell
-// itself would tell too little.
+// Hosts of other cells need only the sums of this cell, and each receives them
+// from its counterparts here. A host without recent reports from most of its
+// cell would send sums that are too low.
 void entry_process::broadcast_cell_load()
 {
     const core::time_point now = core::monotonic_now();
     if (now - reader_state_sent_at_ >= load_refresh_interval) {
         reader_state_sent_at_ = now;
-        wire::host_work said = load_message();
-        said.work.clear();
-        neighbours_->broadcast(said, audience::other_cells);
+        wire::host_work message = load_message();
+        message.work.clear();
+        neighbours_->broadcast(message, audience::other_cells);
     }
     const bool is_due =
         now - cell_load_sent_at_ >= cell_load_reporter::report_interval;
@@ -158,15 +160,15 @@
             neighbours_->cell_peers().size())
         return;
     cell_load_sent_at_ = now;
-    const auto said = load_reporter_.next(
+    const auto message = load_reporter_.next(
         neighbours_->cell(), context_.ledger.own_and_neighbours(now), now);
-    if (said)
-        neighbours_->broadcast(*said, audience::other_cells);
+    if (message)
+        neighbours_->broadcast(*message, audience::other_cells);
 }
 
-// At once, so that hosts which choose within milliseconds of each other do
-// not all choose the server that was the emptiest; what ends may wait for the
-// next tick.
+// Broadcast as soon as possible, so that hosts which place requests within
+// milliseconds of each other do not all choose the server that was the
+// emptiest; load that ends may wait for the next tick.
 void entry_process::schedule_load_broadcast()
 {
     if (std::exchange(is_load_broadcast_scheduled_, true))
@@ -178,60 +180,61 @@
 }
 
 void entry_process::handle_message(
-    const std::shared_ptr<wire::link>& from, wire::message said)
+    const std::shared_ptr<wire::link>& from, wire::message message)
 {
     const wire::hello& peer = *from->peer();
-    if (const auto* newest = std::get_if<wire::catalogue_position>(&said))
-        handle_table_version(peer.host, newest->next_offset);
-    else if (const auto* asked = std::get_if<wire::pull>(&said))
-        handle_table_request(from, *asked);
-    else if (const auto* table = std::get_if<wire::table_document>(&said))
+    if (const auto* position = std::get_if<wire::catalogue_position>(&message))
+        handle_table_version(peer.host, position->next_offset);
+    else if (const auto* request = std::get_if<wire::pull>(&message))
+        handle_table_request(from, *request);
+    else if (const auto* table = std::get_if<wire::table_document>(&message))
         handle_table(peer.host, *table);
-    else if (const auto* changes = std::get_if<wire::table_changes>(&said))
+    else if (const auto* changes = std::get_if<wire::table_changes>(&message))
         handle_table_changes(peer.host, *changes);
-    else if (const auto* servers = std::get_if<wire::listed_servers>(&said))
+    else if (const auto* servers = std::get_if<wire::listed_servers>(&message))
         handle_servers(peer.host, *servers);
-    else if (const auto* work = std::get_if<wire::host_work>(&said))
+    else if (const auto* work = std::get_if<wire::host_work>(&message))
         handle_host_load(peer, *work);
-    else if (const auto* sign = std::get_if<wire::server_sign>(&said))
-        handle_server_notice(peer.host, *sign);
-    else if (const auto* claim = std::get_if<wire::link_claim>(&said))
+    else if (const auto* notice = std::get_if<wire::server_sign>(&message))
+        handle_server_notice(peer.host, *notice);
+    else if (const auto* claim = std::get_if<wire::link_claim>(&message))
         handle_link_claim(peer.host, *claim);
-    else if (const auto* cell = std::get_if<wire::cell_work>(&said))
+    else if (const auto* cell = std::get_if<wire::cell_work>(&message))
         handle_cell_load(peer.host, *cell);
-    else if (const auto* crashes = std::get_if<wire::crash_reports>(&said))
+    else if (const auto* crashes = std::get_if<wire::crash_reports>(&message))
         handle_crash_reports(peer.host, *crashes);
-    else if (const auto* limits = std::get_if<wire::server_limits>(&said))
+    else if (const auto* limits = std::get_if<wire::server_limits>(&message))
         handle_limits(peer.host, *limits);
 }
 
 void entry_process::handle_link_claim(
-    const core::host_name& host, const wire::link_claim& said)
+    const core::host_name& host, const wire::link_claim& message)
 {
     const core::duration hold = std::min<core::duration>(
-        std::chrono::milliseconds(said.hold_ms), max_link_claim);
+        std::chrono::milliseconds(message.hold_ms), max_link_claim);
     std::vector<placement::server_id> servers;
-    for (const std::string& id : said.servers)
+    for (const std::string& id : message.servers)
         servers.emplace_back(id);
     context_.claims.update(
         host, std::move(servers), core::monotonic_now() + hold);
 }
 
-// A neighbour asked the server itself. Its word may come late: then it is said
-// of a life that ended, and another one may be at the address.
+// A neighbour polled the server itself. Its notice may arrive late: then it is
+// about a process that has ended, and another one may run at the address.
 void entry_process::handle_server_notice(
-    const core::host_name& host, const wire::server_sign& said)
+    const core::host_name& host, const wire::server_sign& message)
 {
-    if (said.kind != wire::sign_kind::leaving)
+    if (message.kind != wire::sign_kind::leaving)
         return;
     for (const auto& id : context_.directory.ids()) {
         placement::backend_server known = *context_.directory.find(id);
-        const placement::server_start start{said.started_at_ms};
-        const bool is_of_this_life = !start.is_known() || start == known.start;
-        const bool is_meant = is_of_this_life &&
-                              context_.directory.is_usable(id) &&
-                              known.address.to_string() == said.address.value();
-        if (!is_meant)
+        const placement::server_start start{message.started_at_ms};
+        const bool is_current_process =
+            !start.is_known() || start == known.start;
+        const bool matches =
+            is_current_process && context_.directory.is_usable(id) &&
+            known.address.to_string() == message.address.value();
+        if (!matches)
             continue;
         known.state = placement::server_state::draining;
         add_or_update_server(known, host.value());
@@ -239,32 +242,33 @@
 }
 
 void entry_process::handle_servers(
-    const core::host_name& host, const wire::listed_servers& said)
+    const core::host_name& host, const wire::listed_servers& message)
 {
-    for (const wire::listed_server& one : said.servers) {
-        const auto address = http::endpoint::parse(one.address.value());
+    for (const wire::listed_server& listed : message.servers) {
+        const auto address = http::endpoint::parse(listed.address.value());
         if (!address)
             continue;
-        const bool is_leaving = one.state != wire::server_state::live;
+        const bool is_draining = listed.state != wire::server_state::live;
         add_or_update_server(
             placement::backend_server{
-                placement::server_id(one.id),
-                one.service,
+                placement::server_id(listed.id),
+                listed.service,
                 *address,
-                one.zone,
-                one.slots,
-                is_leaving ? placement::server_state::draining
-                           : placement::server_state::ready,
-                one.revision,
-                placement::server_start{one.started_at_ms}},
+                listed.zone,
+                listed.slots,
+                is_draining ? placement::server_state::draining
+                            : placement::server_state::ready,
+                listed.revision,
+                placement::server_start{listed.started_at_ms}},
             host.value());
     }
     mark_servers_known(host.value());
 }
 
-// The first by name of those that read it now. When it falls silent the next
-// one takes over. A host that has heard nobody yet would take itself for it:
-// 295 that started at once asked each engine for its report, 95,000 times.
+// The primary reader is the first by name of the hosts that read the list now.
+// When its reports stop, the next one takes over. A host without any reports
+// yet would take itself for the primary one: 295 hosts that started at once
+// polled each engine for its report, 95,000 times.
 bool entry_process::is_primary_list_reader() const
 {
     return !is_joining_fleet() && readers_.is_primary(core::monotonic_now());
@@ -284,78 +288,79 @@
 
 std::size_t entry_process::rank_in_cell() const
 {
-    const auto& mates = neighbours_->cell_peers();
+    const auto& peers = neighbours_->cell_peers();
     return static_cast<std::size_t>(std::distance(
-        mates.begin(), mates.lower_bound(context_.settings.host)));
+        peers.begin(), peers.lower_bound(context_.settings.host)));
 }
 
 bool entry_process::may_rely_on_other_readers() const
 {
     const core::time_point now = core::monotonic_now();
-    const auto& mates = neighbours_->cell_peers();
+    const auto& peers = neighbours_->cell_peers();
     if (!is_large_fleet())
         return false;
-    return outage_.is_current() ? readers_.has_earlier_reader(mates, now)
-                                : readers_.has_reader(mates, now);
+    return outage_.is_current() ? readers_.has_earlier_reader(peers, now)
+                                : readers_.has_reader(peers, now);
 }
 
 void entry_process::update_list_readers(
-    const core::host_name& host, const wire::host_work& said)
+    const core::host_name& host, const wire::host_work& message)
 {
     const core::time_point now = core::monotonic_now();
-    readers_.record_report(host, said.reads_list, now);
-    const core::host_name told(said.reader);
-    if (!told.empty() && told != host)
+    readers_.record_report(host, message.reads_list, now);
+    const core::host_name reader(message.reader);
+    if (!reader.empty() && reader != host)
         readers_.record_indirect_report(
-            told, now - std::chrono::milliseconds(said.reader_age_ms));
+            reader, now - std::chrono::milliseconds(message.reader_age_ms));
 }
 
-// Counted each time, told once a host.
+// Counts every invalid gap, but logs only the first ones from each host.
 std::vector<placement::server_work> entry_process::valid_load(
-    const core::host_name& host, const std::vector<wire::server_work>& said)
+    const core::host_name& host, const std::vector<wire::server_work>& loads)
 {
-    received_load heard = from_wire(said);
-    if (heard.refused_gaps == 0)
-        return std::move(heard.work);
+    received_load received = from_wire(loads);
+    if (received.refused_gaps == 0)
+        return std::move(received.work);
     context_.metrics
         ->counter(
             "godwit_refused_gaps_total",
             "Gaps between events that a neighbour told and that cannot be.")
-        .Increment(static_cast<double>(heard.refused_gaps));
+        .Increment(static_cast<double>(received.refused_gaps));
     if (invalid_gaps_from_.insert(host).second)
         log_event(
             log_level::warning,
             component,
             "gaps_refused",
-            {{"neighbour", host}, {"count", heard.refused_gaps}});
-    return std::move(heard.work);
+            {{"neighbour", host}, {"count", received.refused_gaps}});
+    return std::move(received.work);
 }
 
 void entry_process::handle_host_load(
-    const wire::hello& peer, const wire::host_work& said)
+    const wire::hello& peer, const wire::host_work& message)
 {
     const core::host_name& host = peer.host;
-    const auto work = valid_load(host, said.work);
-    update_list_readers(host, said);
-    if (said.reads_list)
+    const auto work = valid_load(host, message.work);
+    update_list_readers(host, message);
+    if (message.reads_list)
         outage_.record_neighbour_read(core::monotonic_now());
-    // The greeting of a host of another cell: its cell's sums hold its work.
+    // The first message on a link to another cell: that cell's sums include the
+    // host's load.
     if (!neighbours_->is_cell_peer(host))
         return;
     context_.ledger.update_from_neighbour(host, work, core::monotonic_now());
 }
 
 void entry_process::handle_cell_load(
-    const core::host_name& host, const wire::cell_work& said)
+    const core::host_name& host, const wire::cell_work& message)
 {
-    const auto work = valid_load(host, said.work);
-    const placement::host_group cell(said.cell);
+    const auto work = valid_load(host, message.work);
+    const placement::host_group cell(message.cell);
     if (cell == neighbours_->cell())
         return;
     context_.ledger.update_from_group(
         cell,
-        said.is_whole ? placement::report_extent::full
-                      : placement::report_extent::changes,
+        message.is_whole ? placement::report_extent::full
+                         : placement::report_extent::changes,
         work,
         core::monotonic_now());
 }
--- a/services/entry/src/entry_process_operators.cpp
+++ b/services/entry/src/entry_process_operators.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-asio::awaitable<void> entry_process::answer_readiness(http::exchange& asked)
+asio::awaitable<void> entry_process::answer_readiness(http::exchange& exchange)
 {
     constexpr unsigned ok = 200;
     constexpr unsigned unavailable = 503;
@@ -27,12 +27,12 @@
     if (ready != was_ready_)
         log_event(log_level::info, component, "readiness", {{"ready", ready}});
     was_ready_ = ready;
-    http::response answer;
-    answer.status = ready ? ok : unavailable;
-    answer.fields.set("Content-Type", "text/plain");
-    answer.body = ready ? "ready\n" : "not ready\n";
+    http::response response;
+    response.status = ready ? ok : unavailable;
+    response.fields.set("Content-Type", "text/plain");
+    response.body = ready ? "ready\n" : "not ready\n";
     [[maybe_unused]] const auto sent =
-        co_await asked.respond(std::move(answer));
+        co_await exchange.respond(std::move(response));
 }
 
 void entry_process::set_gauges()
@@ -83,23 +83,24 @@
     return boost::json::serialize(state);
 }
 
-asio::awaitable<void> entry_process::answer_operator(http::exchange& asked)
+asio::awaitable<void> entry_process::answer_operator(http::exchange& exchange)
 {
     constexpr unsigned not_found = 404;
-    http::response answer;
-    answer.fields.set("Content-Type", "application/json");
-    if (asked.received().target == "/state") {
-        answer.body = state_text();
-    } else if (asked.received().target == "/metrics") {
+    http::response response;
+    response.fields.set("Content-Type", "application/json");
+    if (exchange.received().target == "/state") {
+        response.body = state_text();
+    } else if (exchange.received().target == "/metrics") {
         set_gauges();
-        answer.fields.set("Content-Type", telemetry::metrics::content_type);
-        answer.body = context_.metrics->serialise();
+        response.fields.set("Content-Type", telemetry::metrics::content_type);
+        response.body = context_.metrics->serialise();
     } else {
-        answer.status = not_found;
-        answer.body = R"({"title":"no such page; ask for /state or /metrics"})";
+        response.status = not_found;
+        response.body =
+            R"({"title":"no such page; ask for /state or /metrics"})";
     }
     [[maybe_unused]] const auto sent =
-        co_await asked.respond(std::move(answer));
+        co_await exchange.respond(std::move(response));
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process_reload.cpp
+++ b/services/entry/src/entry_process_reload.cpp
@@ -42,22 +42,22 @@
     apply_settings(*read);
 }
 
-// Said once for each change of the file: `restart` means that something
-// changed which waits for the next start.
+// Logged once for each change of the file. `restart` means that a changed value
+// takes effect only at the next start.
 void entry_process::apply_settings(const entry_settings& read)
 {
-    const entry_settings taken =
+    const entry_settings applied =
         context_.settings.with_reloadable_settings(read);
     log_event(
         log_level::info,
         component,
         "reload",
-        {{"taken_over", taken != context_.settings},
-         {"restart", taken != read}});
-    if (taken == context_.settings)
+        {{"taken_over", applied != context_.settings},
+         {"restart", applied != read}});
+    if (applied == context_.settings)
         return;
-    context_.settings = taken;
-    context_.budgets.update_settings(taken);
+    context_.settings = applied;
+    context_.budgets.update_settings(applied);
     neighbours_->connect_seeds();
 }
 
--- a/services/entry/src/entry_process_paces.cpp
+++ b/services/entry/src/entry_process_slow_servers.cpp
@@ -6,36 +6,38 @@
 
 #include <chrono>
 
-// Which backend servers write slower than the others of their service.
+// Detects backend servers that generate slower than the others of their
+// service.
 
 namespace godwit::entry {
 
 namespace {
 
-// Sums of other cells come this often; two late events take longer.
+// The report interval of other cells; two late events take longer.
 constexpr core::duration comparison_interval = std::chrono::milliseconds(100);
 
 } // namespace
 
-void entry_process::compare_paces()
+void entry_process::detect_slow_servers()
 {
     const core::time_point now = core::monotonic_now();
-    if (!context_.routes || now - compared_at_ < comparison_interval)
+    if (!context_.routes ||
+        now - slow_servers_checked_at_ < comparison_interval)
         return;
-    compared_at_ = now;
+    slow_servers_checked_at_ = now;
     for (const routing::service& service :
          context_.routes->content().services) {
         if (service.engine)
-            compare_paces_of(service, now);
+            detect_slow_servers_of(service, now);
     }
 }
 
-void entry_process::compare_paces_of(
+void entry_process::detect_slow_servers_of(
     const routing::service& service, core::time_point now)
 {
-    const auto seen = placement::observed_gaps(
+    const auto observed = placement::observed_gaps(
         context_.directory, context_.ledger, service.name, now);
-    const auto changes = context_.slow_servers.compare(seen, now);
+    const auto changes = context_.slow_servers.compare(observed, now);
     if (changes == placement::speed_changes())
         return;
     telemetry::log_event(
@@ -47,7 +49,7 @@
          {"slower_first", join_first_ids(changes.slower)},
          {"recovered", changes.recovered.size()},
          {"recovered_first", join_first_ids(changes.recovered)},
-         {"compared", seen.size()}});
+         {"compared", observed.size()}});
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/entry_process_stop.cpp
+++ b/services/entry/src/entry_process_stop.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::string_view component = "entry";
-// A balancer asks each second and takes a host out after two misses; new
-// connections come that long after the order to stop.
+// A load balancer probes once a second and removes a host after two failures;
+// new connections arrive for that long after the stop signal.
 constexpr core::duration accept_duration_after_stop =
     std::chrono::milliseconds(2600);
-// What is left of the grace for closing sockets and ending.
+// The part of the grace period that is left for closing sockets and ending.
 constexpr core::duration exit_margin = std::chrono::milliseconds(350);
 constexpr core::duration stop_check_interval = std::chrono::milliseconds(50);
 
@@ -43,25 +43,25 @@
     begin_stop();
 }
 
-// Readiness fails at once and each answer ends its connection, so that
-// callers move away; new connections are served until the balancer has
-// noticed, and what runs is served to its end.
+// Readiness probes fail at once and each response closes its connection, so
+// that callers move to other hosts. New connections are served until the load
+// balancer has noticed, and running requests are served to their end.
 void entry_process::begin_stop()
 {
     context_.is_stopping = true;
-    stop_began_ = core::monotonic_now();
+    stop_started_at_ = core::monotonic_now();
     callers_->announce_close();
     log_event(
         log_level::info,
         component,
         "stop",
         {{"requests", callers_->active_exchanges()}});
-    watch_stop();
+    check_stop();
 }
 
-void entry_process::watch_stop()
+void entry_process::check_stop()
 {
-    const core::duration since = core::monotonic_now() - stop_began_;
+    const core::duration since = core::monotonic_now() - stop_started_at_;
     if (since >= accept_duration_after_stop)
         callers_->stop_accepting();
     const bool is_idle = since >= accept_duration_after_stop &&
@@ -78,7 +78,7 @@
     stop_timer_.expires_after(stop_check_interval);
     stop_timer_.async_wait([this](const auto& failure) {
         if (!failure)
-            watch_stop();
+            check_stop();
     });
 }
 
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view component = "tables";
-// Of a message between hosts, with room for what is said beside the table.
+// The frame limit between hosts, less the space for the message's other fields.
 constexpr std::size_t max_table_bytes =
     wire::default_frame_limit - std::size_t{4} * 1024;
 
@@ -31,7 +31,7 @@
     loader_.add({text, std::string(source), text.size()});
 }
 
-// Of a fleet's hosts most get each version twice, from the source and from a
+// Most hosts of a fleet receive each version twice, from the source and from a
 // neighbour.
 bool entry_process::is_new_table(const received_table& table) const
 {
@@ -57,7 +57,7 @@
     table_fetches_.record_response(source, core::monotonic_now());
 }
 
-// Neighbours get the changes as they came here.
+// Neighbours get the changes as they were received.
 void entry_process::add_to_history(received_table table)
 {
     const bool follows =
@@ -95,9 +95,9 @@
     add_to_history(std::move(table));
 }
 
-// The table itself may be large, and the source brings it to nearly every
-// host: sent to each neighbour at once it fills the links of small hosts for
-// seconds, and no further version gets through.
+// Only the version is announced. The table may be large, and the source
+// delivers it to nearly every host: sent to each neighbour at once, it fills
+// the links of small hosts for seconds, and no further version gets through.
 void entry_process::handle_table_version(
     const core::host_name& host, std::uint64_t version)
 {
@@ -107,33 +107,33 @@
 
 void entry_process::request_table()
 {
-    // What is being read may be what is lacking.
+    // The table that is being parsed may be the missing version.
     if (loader_.is_busy())
         return;
-    while (const auto question = table_fetches_.next(core::monotonic_now())) {
-        const auto link = neighbours_->link_to(question->neighbour);
+    while (const auto request = table_fetches_.next(core::monotonic_now())) {
+        const auto link = neighbours_->link_to(request->neighbour);
         if (!link) {
-            table_fetches_.remove_neighbour(question->neighbour);
+            table_fetches_.remove_neighbour(request->neighbour);
             continue;
         }
         log_event(
             log_level::info,
             component,
             "table_asked",
-            {{"version", question->version},
-             {"neighbour", question->neighbour},
-             {"whole", question->full}});
+            {{"version", request->version},
+             {"neighbour", request->neighbour},
+             {"whole", request->full}});
         link->send(wire::pull{
-            question->version,
-            question->full ? std::string() : tables_.digest(),
+            request->version,
+            request->full ? std::string() : tables_.digest(),
             true});
     }
 }
 
 void entry_process::handle_table_request(
-    const std::shared_ptr<wire::link>& from, const wire::pull& said)
+    const std::shared_ptr<wire::link>& from, const wire::pull& request)
 {
-    table_requests_.add(from, said, core::monotonic_now());
+    table_requests_.add(from, request, core::monotonic_now());
     serve_table_requests();
 }
 
@@ -141,26 +141,26 @@
 {
     table_requests_.serve(
         core::monotonic_now(),
-        [this](wire::link& asker, const wire::pull& said) {
-            answer_table_request(asker, said);
+        [this](wire::link& requester, const wire::pull& request) {
+            answer_table_request(requester, request);
         });
 }
 
 void entry_process::answer_table_request(
-    wire::link& to, const wire::pull& asked)
+    wire::link& to, const wire::pull& request)
 {
     if (!context_.routes)
         return;
     const std::uint64_t version = context_.routes->version();
-    // A process of an earlier release understands nothing else.
-    if (!asked.takes_changes) {
+    // A process of an earlier release supports full tables only.
+    if (!request.takes_changes) {
         send_table(
             to,
             wire::table_document{version, tables_.text()},
             tables_.text().size());
         return;
     }
-    auto changes = tables_.changes_from(asked.base);
+    auto changes = tables_.changes_from(request.base);
     if (!changes) {
         log_event(
             log_level::error,
@@ -173,7 +173,8 @@
     send_table(to, std::move(*changes), bytes);
 }
 
-// A message over the limit would close the link, with all that it carries.
+// A message over the limit would close the link, and with it all that the link
+// carries.
 void entry_process::send_table(
     wire::link& to, wire::message table, std::size_t bytes)
 {
@@ -191,33 +192,33 @@
 }
 
 void entry_process::handle_table(
-    const core::host_name& host, const wire::table_document& said)
+    const core::host_name& host, const wire::table_document& message)
 {
-    if (has_version(said.version))
-        discard_known_table(host, said.version, said.text.size());
+    if (has_version(message.version))
+        discard_known_table(host, message.version, message.text.size());
     else
-        load_table(said.text, host.value());
+        load_table(message.text, host.value());
 }
 
 void entry_process::handle_table_changes(
-    const core::host_name& host, const wire::table_changes& said)
+    const core::host_name& host, const wire::table_changes& message)
 {
-    const std::size_t bytes = payload_bytes(said);
+    const std::size_t bytes = payload_bytes(message);
     const std::uint64_t version =
-        said.steps.empty() ? 0 : said.steps.back().version;
+        message.steps.empty() ? 0 : message.steps.back().version;
     if (has_version(version)) {
         discard_known_table(host, version, bytes);
         return;
     }
-    auto text = tables_.apply(said);
+    auto text = tables_.apply(message);
     if (text)
-        loader_.add({std::move(*text), host.value(), bytes, said});
+        loader_.add({std::move(*text), host.value(), bytes, message});
     else
         reject_changes(host, version, text.error());
 }
 
-// What was made of false changes, or of changes to another text, is dropped;
-// the whole table needs no other one to be right.
+// A text made from invalid changes, or changes to another text, is dropped; a
+// full table does not depend on any other text.
 void entry_process::reject_changes(
     const core::host_name& host, std::uint64_t version, const core::error& why)
 {
@@ -238,7 +239,7 @@
     return context_.routes && version <= context_.routes->version();
 }
 
-// A table that is no news came over the link for nothing.
+// A table whose version is known already was sent for nothing, which is logged.
 void entry_process::discard_known_table(
     const core::host_name& host, std::uint64_t version, std::size_t bytes)
 {
--- a/services/entry/src/entry_settings.cpp
+++ b/services/entry/src/entry_settings.cpp
@@ -46,20 +46,21 @@
 entry_settings
 entry_settings::with_reloadable_settings(const entry_settings& newer) const
 {
-    entry_settings taken = *this;
-    taken.seeds = newer.seeds;
-    taken.stop_grace = newer.stop_grace;
-    taken.retry_share = newer.retry_share;
-    taken.retry_allowance = newer.retry_allowance;
-    taken.retry_window = newer.retry_window;
-    return taken;
+    entry_settings result = *this;
+    result.seeds = newer.seeds;
+    result.stop_grace = newer.stop_grace;
+    result.retry_share = newer.retry_share;
+    result.retry_allowance = newer.retry_allowance;
+    result.retry_window = newer.retry_window;
+    return result;
 }
 
 core::result<entry_settings> entry_settings::read(settings::reader source)
 {
     auto listen = GODWIT_TRY(source.get_object("listen"));
-    // One by one: a return out of a list of initialisers, as GODWIT_TRY makes
-    // it, leaves what the list has made already undestroyed (g++ 12).
+    // Read one by one: a return out of an initialiser list, which GODWIT_TRY
+    // makes on failure, does not destroy the elements that were already
+    // constructed (g++ 12).
     const auto host =
         GODWIT_TRY(settings::read_name<core::host_name>(source, "host"));
     const auto zone =
--- a/services/entry/src/load_conversion.cpp
+++ b/services/entry/src/load_conversion.cpp
@@ -22,32 +22,35 @@
 
 namespace {
 
-bool has_valid_gaps(const wire::server_work& told)
+bool has_valid_gaps(const wire::server_work& load)
 {
-    constexpr auto longest_ms = static_cast<std::uint64_t>(
+    constexpr auto max_gap_ms = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(
             placement::event_gap_tracker::max_gap)
             .count());
-    return told.paced_streams <= told.requests &&
-           told.gap_ms <= told.paced_streams * longest_ms;
+    return load.paced_streams <= load.requests &&
+           load.gap_ms <= load.paced_streams * max_gap_ms;
 }
 
 } // namespace
 
-received_load from_wire(const std::vector<wire::server_work>& said)
+received_load from_wire(const std::vector<wire::server_work>& loads)
 {
-    received_load heard;
-    heard.work.reserve(said.size());
-    for (const wire::server_work& one : said) {
+    received_load received;
+    received.work.reserve(loads.size());
+    for (const wire::server_work& load : loads) {
         placement::work_size work{
-            one.requests, one.tokens, one.unread_tokens, one.arriving_tokens};
-        if (has_valid_gaps(one))
-            work.gaps = {one.paced_streams, one.gap_ms};
+            load.requests,
+            load.tokens,
+            load.unread_tokens,
+            load.arriving_tokens};
+        if (has_valid_gaps(load))
+            work.gaps = {load.paced_streams, load.gap_ms};
         else
-            ++heard.refused_gaps;
-        heard.work.push_back({placement::server_id(one.server), work});
+            ++received.refused_gaps;
+        received.work.push_back({placement::server_id(load.server), work});
     }
-    return heard;
+    return received;
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/neighbour_links.cpp
+++ b/services/entry/src/neighbour_links.cpp
@@ -26,8 +26,8 @@
     return {asio::ip::make_address(address.address()), address.port()};
 }
 
-// A frozen neighbour must not hold memory for what it does not read, and a
-// dead one must not be believed for long.
+// Messages that a frozen neighbour does not read must not take up memory
+// without bound, and the reports of a failed one must not be used for long.
 wire::link_options link_options()
 {
     wire::link_options options;
@@ -181,7 +181,7 @@
         connect(address);
 }
 
-// A host that is not listed itself yet takes everybody for its cell.
+// Until this host is listed itself, it treats all hosts as its cell.
 void neighbour_links::update_cell(const std::vector<host_cell>& cells)
 {
     cell_ = placement::host_group();
@@ -202,7 +202,7 @@
     return cell_.empty() || cell_peers_.contains(host);
 }
 
-// Those that are open, kept apart: a link whose peer does not read closes when
+// Returns a copy of the open links: a link whose peer does not read closes when
 // it is written to, and leaves the set.
 std::vector<std::shared_ptr<wire::link>> neighbour_links::links() const
 {
--- a/services/entry/src/neighbour_selection.cpp
+++ b/services/entry/src/neighbour_selection.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Fleets with more cells have links enough on which news goes round; links
-// have their price in memory and processor time.
-constexpr std::size_t max_cells_with_spares = 8;
+// Fleets with more cells have enough links on which messages are forwarded, and
+// links cost memory and CPU time.
+constexpr std::size_t max_cells_with_backups = 8;
 
 struct cell_position
 {
@@ -34,8 +34,9 @@
     return std::nullopt;
 }
 
-// Of two cells one opens the links between counterparts: every second one of
-// the cells after it and before it, so that no host opens most of them.
+// Of two cells one opens the links between counterparts. Each cell opens them
+// to every second one of the cells after it and before it, so that no host
+// opens most of them.
 bool opens_link(std::size_t own, std::size_t other)
 {
     const bool is_even = (own + other) % 2 == 0;
@@ -50,13 +51,13 @@
     const auto own = find(cells, self);
     if (!own)
         return {};
-    const auto& mates = cells[own->cell].members;
+    const auto& own_members = cells[own->cell].members;
     std::vector<known_host> chosen(
-        mates.begin(),
-        mates.begin() + static_cast<std::ptrdiff_t>(own->member));
+        own_members.begin(),
+        own_members.begin() + static_cast<std::ptrdiff_t>(own->member));
     const auto add = [&](const std::vector<known_host>& members,
-                         std::size_t place) {
-        const known_host& other = members[place % members.size()];
+                         std::size_t index) {
+        const known_host& other = members[index % members.size()];
         if (std::find(chosen.begin(), chosen.end(), other) == chosen.end())
             chosen.push_back(other);
     };
@@ -64,11 +65,11 @@
         if (cell == own->cell)
             continue;
         // In a smaller cell one host is the counterpart of several; each of
-        // them opens its link.
+        // these opens its link to it.
         const auto& members = cells[cell].members;
         if (opens_link(own->cell, cell) || own->member >= members.size())
             add(members, own->member);
-        if (cells.size() <= max_cells_with_spares)
+        if (cells.size() <= max_cells_with_backups)
             add(members, own->member + 1);
     }
     return chosen;
--- a/services/entry/src/report_poller.cpp
+++ b/services/entry/src/report_poller.cpp
@@ -16,14 +16,15 @@
 // A report needs no slot; a server that takes longer cannot be reached.
 constexpr core::duration report_timeout = std::chrono::milliseconds(600);
 
-// A life that came after the one that was asked means that this one has gone;
-// the list tells of it. What an earlier one says is not the asked one's.
+// A report of a later process means that the polled one has ended, which the
+// list of servers reports. A report of an earlier process is not about the
+// polled one.
 bool reports_draining(
-    const placement::backend_server& asked, const server_report& report)
+    const placement::backend_server& polled, const server_report& report)
 {
-    const bool is_of_former_life =
-        report.start.is_known() && report.start < asked.start;
-    return report.is_draining && !is_of_former_life;
+    const bool is_from_earlier_process =
+        report.start.is_known() && report.start < polled.start;
+    return report.is_draining && !is_from_earlier_process;
 }
 
 } // namespace
@@ -53,31 +54,31 @@
 void report_poller::start_poll(const placement::server_id& id)
 {
     const placement::backend_server* server = context_.directory.find(id);
-    const bool is_worth_asking =
+    const bool should_poll =
         server != nullptr && context_.directory.is_usable(id);
-    if (!is_worth_asking || !pending_.insert(id).second)
+    if (!should_poll || !pending_.insert(id).second)
         return;
-    // However the question ends, the server may be asked again.
+    // However the poll ends, the server may be polled again.
     spawn(
         context_.executor,
         "report",
-        [this, asked = *server]() -> asio::awaitable<void> {
-            co_await poll(asked);
+        [this, polled = *server]() -> asio::awaitable<void> {
+            co_await poll(polled);
         },
         [this, id] { pending_.erase(id); });
 }
 
 asio::awaitable<void> report_poller::poll(placement::backend_server server)
 {
-    http::request question = context_.codec.write_report_request();
+    http::request request = context_.codec.write_report_request();
     const http::fetch_limits limits{.deadline = report_timeout};
-    const auto answered = co_await http::fetch(
-        *context_.connections, server.address, std::move(question), limits);
-    // A server that does not answer may be cut off from this host alone; its
-    // streams decide for themselves.
-    if (!answered)
+    const auto response = co_await http::fetch(
+        *context_.connections, server.address, std::move(request), limits);
+    // A server that does not respond may be cut off from this host alone; its
+    // streams handle that themselves.
+    if (!response)
         co_return;
-    const auto report = context_.codec.read_report(*answered);
+    const auto report = context_.codec.read_report(*response);
     if (!report) {
         telemetry::log_event(
             telemetry::log_level::warning,
--- a/services/entry/src/server_limit_exchange.cpp
+++ b/services/entry/src/server_limit_exchange.cpp
@@ -64,10 +64,10 @@
 void update_limit(
     entry_context& context,
     const placement::backend_server& server,
-    const response_metadata& terms,
+    const response_metadata& metadata,
     core::time_point sent_at)
 {
-    if (terms.has_invalid_limit) {
+    if (metadata.has_invalid_limit) {
         context.metrics
             ->counter(
                 "godwit_refused_limits_total",
@@ -77,12 +77,12 @@
             log_invalid_server_limit(server.id);
         return;
     }
-    if (!terms.requests_per_second && context.limits.empty())
+    if (!metadata.requests_per_second && context.limits.empty())
         return;
     const placement::server_limit limit{
         server.id,
         server.start,
-        terms.requests_per_second,
+        metadata.requests_per_second,
         core::monotonic_now()};
     const auto changed = context.limits.update_from_answer(limit, sent_at);
     if (!changed)
--- a/services/entry/src/server_list_outage.cpp
+++ b/services/entry/src/server_list_outage.cpp
@@ -9,12 +9,12 @@
     is_current_ = is_current;
     if (!is_current) {
         lost_at_ = now;
-        others_served_at_.reset();
+        others_served_since_.reset();
         return;
     }
     const bool others_were_served =
-        others_served_at_ &&
-        *others_served_at_ + recovery_detection_skew <= now;
+        others_served_since_ &&
+        *others_served_since_ + recovery_detection_skew <= now;
     if (lost_at_ && !others_were_served)
         recovering_until_ = now + recovery_period;
 }
@@ -26,10 +26,10 @@
 
 void server_list_outage::record_neighbour_read(core::time_point now)
 {
-    const bool proves = !is_current_ && lost_at_ && !others_served_at_ &&
+    const bool proves = !is_current_ && lost_at_ && !others_served_since_ &&
                         now - *lost_at_ >= loss_detection_time;
     if (proves)
-        others_served_at_ = now;
+        others_served_since_ = now;
 }
 
 placement::source_state server_list_outage::state_at(core::time_point now) const
--- a/services/entry/src/server_list_readers.cpp
+++ b/services/entry/src/server_list_readers.cpp
@@ -16,8 +16,8 @@
 void server_list_readers::record_report(
     const core::host_name& host, bool reads_list, core::time_point now)
 {
-    // Hosts come and go under ever new names; who said nothing lately is as
-    // good as never heard.
+    // Hosts come and go under new names each time; one without a recent report
+    // counts as unknown.
     std::erase_if(last_reports_, [now](const auto& each) {
         return !is_fresh(each.second, now);
     });
--- a/services/entry/src/table_fetch_scheduler.cpp
+++ b/services/entry/src/table_fetch_scheduler.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The limit doubles up to eight times the first one.
+// The timeout doubles up to eight times the first one.
 constexpr unsigned max_doublings = 3;
 
 core::duration timeout_after(unsigned requests_before)
@@ -41,16 +41,16 @@
     std::erase_if(newer_versions_, [version](const auto& each) {
         return each.second.version <= version;
     });
-    for (auto& [neighbour, said] : newer_versions_)
-        said.requests = 0;
+    for (auto& [neighbour, announced] : newer_versions_)
+        announced.requests = 0;
     pending_neighbour_.reset();
     next_request_at_ = {};
     consecutive_requests_ = 0;
     needs_full_table_ = false;
 }
 
-// A neighbour whose table cannot be read here would otherwise be asked again
-// as fast as it answers.
+// The pause keeps this host from asking a neighbour whose table it cannot parse
+// again as fast as it responds.
 void table_fetch_scheduler::record_response(
     const core::host_name& neighbour, core::time_point now)
 {
@@ -79,9 +79,10 @@
         });
 }
 
-// The newest version, of those who were asked the least. Each host begins at
-// another neighbour: all of them hear the first one at the same moment, and
-// its link would be the next to be full.
+// Chooses, among the neighbours that were asked the least, one with the newest
+// version. Each host starts with another neighbour: all of them receive the
+// first announcement at the same moment, and the link of that neighbour would
+// be the next to be saturated.
 table_fetch_scheduler::announcements::iterator table_fetch_scheduler::choose()
 {
     const auto rank = [this](const announcements::value_type& each) {
--- a/services/entry/src/table_history.cpp
+++ b/services/entry/src/table_history.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// More than any table; a neighbour's claim beyond it sets no memory aside.
+// Larger than any table. A neighbour's claim of a larger size allocates no
+// memory.
 constexpr std::size_t max_text_bytes = std::size_t{64} * 1024 * 1024;
 
 core::result<wire::table_step> make_step(
@@ -30,15 +31,15 @@
 
 void table_history::set_full(std::uint64_t version, std::string text)
 {
-    const std::string former_base = digest_;
-    const std::string former = std::move(text_);
+    const std::string previous_digest = digest_;
+    const std::string previous_text = std::move(text_);
     std::string digest = delta::content_digest(text);
     replace(version, std::move(text), std::move(digest));
-    if (former_base.empty())
+    if (previous_digest.empty())
         return;
-    auto step = make_step(former, text_, version, digest_);
+    auto step = make_step(previous_text, text_, version, digest_);
     if (step)
-        add(former_base, std::move(*step));
+        add(previous_digest, std::move(*step));
     else
         steps_.clear();
 }
@@ -66,7 +67,7 @@
     full_step_.reset();
 }
 
-// Steps that together are as large as the table are of no use.
+// Steps that together exceed the size of the table are of no use.
 void table_history::add(std::string base, wire::table_step step)
 {
     steps_.push_back({std::move(base), std::move(step)});
@@ -90,23 +91,23 @@
     if (!changes.base.empty() && changes.base != digest_)
         return core::fail(
             core::error_kind::expired,
-            "the changes begin at a table that is not in force here",
-            "ask again");
+            "the table changes apply to a table that is not active here",
+            "request the changes again");
     if (changes.steps.empty())
         return core::fail(
             core::error_kind::protocol,
-            "the changes have no step",
-            "ask for the whole table");
-    std::string made = changes.base.empty() ? std::string() : text_;
+            "the table changes have no steps",
+            "request the full table");
+    std::string result = changes.base.empty() ? std::string() : text_;
     for (const wire::table_step& step : changes.steps)
-        made = GODWIT_TRY(delta::apply_patch(
-            made, {step.made_bytes, step.compressed}, max_text_bytes));
-    if (delta::content_digest(made) != changes.steps.back().made)
+        result = GODWIT_TRY(delta::apply_patch(
+            result, {step.made_bytes, step.compressed}, max_text_bytes));
+    if (delta::content_digest(result) != changes.steps.back().made)
         return core::fail(
             core::error_kind::protocol,
-            "the changes lead to another table than they say",
-            "ask for the whole table");
-    return made;
+            "the table changes result in another digest than they state",
+            "request the full table");
+    return result;
 }
 
 core::result<wire::table_changes>
@@ -114,25 +115,27 @@
 {
     if (digest_.empty())
         return core::fail(
-            core::error_kind::exhausted, "no table is in force", "ask later");
-    wire::table_changes made;
+            core::error_kind::exhausted,
+            "no route table is active",
+            "retry later");
+    wire::table_changes changes;
     const auto first = std::find_if(
         steps_.begin(), steps_.end(), [&base](const stored_step& each) {
             return each.base == base;
         });
     if (!base.empty() && first != steps_.end()) {
-        made.base = base;
+        changes.base = base;
         std::transform(
             first,
             steps_.end(),
-            std::back_inserter(made.steps),
+            std::back_inserter(changes.steps),
             [](const stored_step& each) { return each.step; });
-        return made;
+        return changes;
     }
     if (!full_step_)
         full_step_ = GODWIT_TRY(make_step("", text_, version_, digest_));
-    made.steps.push_back(*full_step_);
-    return made;
+    changes.steps.push_back(*full_step_);
+    return changes;
 }
 
 } // namespace godwit::entry
--- a/services/entry/src/table_loader.cpp
+++ b/services/entry/src/table_loader.cpp
@@ -22,7 +22,7 @@
     waiting_.push_back(std::move(table));
     if (std::exchange(is_running_, true))
         return;
-    // An exception ends the reading of one table; the others are read after a
+    // An exception ends the parsing of one table; the others are parsed after a
     // pause.
     spawn_with_restart(
         executor_, "read_table", [this]() -> asio::awaitable<void> {
@@ -36,14 +36,14 @@
         received_table next = std::move(waiting_.front());
         waiting_.pop_front();
         if (handlers_.is_new(next))
-            co_await read(std::move(next));
+            co_await parse(std::move(next));
     }
-    // Here, since what arrives until the coroutine has ended has to begin it
-    // again.
+    // Reset here, because a table that arrives before the coroutine has ended
+    // has to restart it.
     is_running_ = false;
 }
 
-asio::awaitable<void> table_loader::read(received_table table)
+asio::awaitable<void> table_loader::parse(received_table table)
 {
     const table_parser parse_slice = handlers_.start_parsing(table.text);
     while (true) {
