--- a/tests/entry/entry_settings_test.cpp
+++ b/tests/entry/entry_settings_test.cpp
@@ -1,6 +1,6 @@
-// The settings file is read again every few seconds. What was read before the
-// first fault of a file was never freed, so that a file that stays wrong took
-// more and more of a host's memory.
+// The settings file is read again every few seconds. Guards against a leak:
+// values read before the first error of a file were never freed, so that a file
+// that stayed invalid used up a host's memory.
 
 #include <godwit/entry/entry_settings.hpp>
 
@@ -18,7 +18,7 @@
 class entry_settings_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(entry_settings_test);
-    CPPUNIT_TEST(test_a_refused_file_leaves_nothing_behind);
+    CPPUNIT_TEST(test_a_rejected_file_leaks_no_memory);
     CPPUNIT_TEST_SUITE_END();
 
     static bool is_refused(const std::string& text)
@@ -27,7 +27,7 @@
         return parsed && !entry::entry_settings::read(std::move(*parsed));
     }
 
-    void test_a_refused_file_leaves_nothing_behind()
+    void test_a_rejected_file_leaks_no_memory()
     {
         const std::string name(100, 'n');
         const std::string text = R"({"host":")" + name + R"(","zone":")" +
@@ -37,7 +37,7 @@
         constexpr int times = 1000;
         for (int time = 0; time < times; ++time)
             CPPUNIT_ASSERT(is_refused(text));
-        // Under a sanitizer, which counts for itself, both are zero.
+        // Under a sanitizer, which has its own allocator, both are zero.
         CPPUNIT_ASSERT(::mallinfo2().uordblks < before + times);
     }
 };
--- a/tests/entry/neighbour_links_test.cpp
+++ b/tests/entry/neighbour_links_test.cpp
@@ -38,7 +38,7 @@
         .seeds = {}};
 }
 
-/// An entry host's links alone, on a context that the test drives.
+/// An entry host's links on their own, on a context that the test drives.
 struct host
 {
     explicit host(const std::string& name, std::vector<http::endpoint> seeds)
@@ -53,7 +53,7 @@
                             return std::vector<wire::message>();
                         },
                         [this](const auto&, const wire::message&) {
-                            ++heard;
+                            ++received;
                         }})
                     .value();
         links->start();
@@ -62,47 +62,46 @@
     asio::io_context context{1};
     entry_settings settings;
     std::unique_ptr<neighbour_links> links;
-    int heard = 0;
+    int received = 0;
 };
 
 class neighbour_links_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(neighbour_links_test);
-    CPPUNIT_TEST(test_neighbours_that_do_not_read_cost_their_links_only);
+    CPPUNIT_TEST(test_a_neighbour_that_does_not_read_loses_only_its_own_link);
     CPPUNIT_TEST_SUITE_END();
 
     // A frozen or cut-off neighbour reads nothing; its link closes while the
-    // host is telling all of them something.
-    void test_neighbours_that_do_not_read_cost_their_links_only()
+    // host is broadcasting to all of them.
+    void test_a_neighbour_that_does_not_read_loses_only_its_own_link()
     {
-        host speaker("a", {});
+        host sender("a", {});
         std::vector<std::unique_ptr<host>> others;
         for (const char* name : {"b", "c", "d", "e"})
             others.push_back(std::make_unique<host>(
-                name,
-                std::vector<http::endpoint>{speaker.settings.neighbours}));
+                name, std::vector<http::endpoint>{sender.settings.neighbours}));
         const auto end =
             std::chrono::steady_clock::now() + std::chrono::seconds(5);
-        while (speaker.links->open_links() < others.size()) {
+        while (sender.links->open_links() < others.size()) {
             CPPUNIT_ASSERT(std::chrono::steady_clock::now() < end);
-            speaker.context.poll();
+            sender.context.poll();
             for (const auto& other : others)
                 other->context.poll();
         }
-        // Only the last one goes on to read.
+        // Only the last one keeps reading.
         const wire::message large =
             wire::table_document{1, std::string(500'000, 'x')};
         for (int count = 0; count < 40; ++count) {
-            speaker.links->broadcast(large);
-            speaker.context.poll();
+            sender.links->broadcast(large);
+            sender.context.poll();
             for (int turn = 0; turn < 50; ++turn) {
                 others.back()->context.poll();
-                speaker.context.poll();
+                sender.context.poll();
             }
         }
-        CPPUNIT_ASSERT(speaker.links->open_links() >= 1);
-        CPPUNIT_ASSERT(speaker.links->open_links() < others.size());
-        CPPUNIT_ASSERT(others.back()->heard > 0);
+        CPPUNIT_ASSERT(sender.links->open_links() >= 1);
+        CPPUNIT_ASSERT(sender.links->open_links() < others.size());
+        CPPUNIT_ASSERT(others.back()->received > 0);
     }
 };
 
--- a/tests/entry/report_poller_test.cpp
+++ b/tests/entry/report_poller_test.cpp
@@ -1,6 +1,6 @@
-// A server is asked for its report again only when the last question has
-// ended. One that ended by an exception was asked about for ever: its server
-// was never asked again, and the end that it announces costs its streams.
+// A server is polled again only after its last poll has ended. Guards against a
+// poll that ends with an exception and stays pending for ever: its server is
+// never polled again, and its streams are lost when it announces its end.
 
 #include <godwit/entry/report_poller.hpp>
 
@@ -21,15 +21,15 @@
     return http::endpoint::parse("127.0.0.1:0").value();
 }
 
-int questions = 0;
+int polls = 0;
 
-http::request broken_question()
+http::request failing_request()
 {
-    ++questions;
+    ++polls;
     throw std::runtime_error("a fault of the codec");
 }
 
-struct quiet_stream : running_stream
+struct idle_stream : running_stream
 {
     void on_server_draining() override {}
 
@@ -44,15 +44,15 @@
 class report_poller_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(report_poller_test);
-    CPPUNIT_TEST(test_a_question_that_fails_is_asked_again);
+    CPPUNIT_TEST(test_a_server_is_polled_again_after_a_failed_poll);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_a_question_that_fails_is_asked_again()
+    void test_a_server_is_polled_again_after_a_failed_poll()
     {
         const placement::server_id id("i-1");
         boost::asio::io_context io{1};
         codec_functions words{};
-        words.write_report_request = &broken_question;
+        words.write_report_request = &failing_request;
         entry_context context(
             io.get_executor(),
             entry_settings{
@@ -68,7 +68,7 @@
             placement::backend_server{
                 id, core::service_name("lm"), any_port(), {}},
             core::monotonic_now());
-        quiet_stream stream;
+        idle_stream stream;
         context.streams.add(id, stream);
         report_poller poller(context, [](const auto&) {});
         for (int rounds = 0; rounds < 3; ++rounds) {
@@ -76,7 +76,7 @@
             io.restart();
             io.run();
         }
-        CPPUNIT_ASSERT_EQUAL(3, questions);
+        CPPUNIT_ASSERT_EQUAL(3, polls);
     }
 };
 
--- a/tests/entry/server_list_readers_test.cpp
+++ b/tests/entry/server_list_readers_test.cpp
@@ -23,54 +23,54 @@
 class server_list_readers_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(server_list_readers_test);
-    CPPUNIT_TEST(test_the_first_by_name_reads_for_the_others);
-    CPPUNIT_TEST(test_the_next_takes_over_from_a_silent_reader);
-    CPPUNIT_TEST(test_a_reader_that_cannot_read_leaves_it_to_the_others);
-    CPPUNIT_TEST(test_a_host_that_rests_is_no_reader);
-    CPPUNIT_TEST(test_only_readers_of_the_own_cell_are_relied_on);
-    CPPUNIT_TEST(test_an_older_word_of_a_third_host_changes_nothing);
+    CPPUNIT_TEST(test_the_first_reader_by_name_is_primary);
+    CPPUNIT_TEST(test_the_next_reader_takes_over_when_reports_stop);
+    CPPUNIT_TEST(test_a_host_that_cannot_read_is_no_reader);
+    CPPUNIT_TEST(test_a_host_without_recent_reads_is_no_reader);
+    CPPUNIT_TEST(test_only_readers_in_the_same_cell_are_relied_on);
+    CPPUNIT_TEST(test_an_older_relayed_report_is_ignored);
     CPPUNIT_TEST_SUITE_END();
 
-    const std::set<core::host_name> mates_{host("a"), host("c"), host("d")};
+    const std::set<core::host_name> peers_{host("a"), host("c"), host("d")};
     server_list_readers readers_{host("b")};
 
-    void test_the_first_by_name_reads_for_the_others()
+    void test_the_first_reader_by_name_is_primary()
     {
         CPPUNIT_ASSERT(readers_.is_primary(at_ms(0)));
-        CPPUNIT_ASSERT(!readers_.has_earlier_reader(mates_, at_ms(0)));
+        CPPUNIT_ASSERT(!readers_.has_earlier_reader(peers_, at_ms(0)));
         readers_.record_report(host("c"), true, at_ms(0));
         CPPUNIT_ASSERT(readers_.is_primary(at_ms(0)));
-        CPPUNIT_ASSERT(!readers_.has_earlier_reader(mates_, at_ms(0)));
-        CPPUNIT_ASSERT(readers_.has_reader(mates_, at_ms(0)));
+        CPPUNIT_ASSERT(!readers_.has_earlier_reader(peers_, at_ms(0)));
+        CPPUNIT_ASSERT(readers_.has_reader(peers_, at_ms(0)));
         readers_.record_report(host("a"), true, at_ms(0));
         CPPUNIT_ASSERT(!readers_.is_primary(at_ms(0)));
-        CPPUNIT_ASSERT(readers_.has_earlier_reader(mates_, at_ms(0)));
+        CPPUNIT_ASSERT(readers_.has_earlier_reader(peers_, at_ms(0)));
         CPPUNIT_ASSERT(
             readers_.first_other_reader(at_ms(0))->first == host("a"));
     }
 
-    void test_the_next_takes_over_from_a_silent_reader()
+    void test_the_next_reader_takes_over_when_reports_stop()
     {
         readers_.record_report(host("a"), true, at_ms(0));
-        CPPUNIT_ASSERT(readers_.has_earlier_reader(mates_, at_ms(1999)));
-        CPPUNIT_ASSERT(!readers_.has_earlier_reader(mates_, at_ms(2000)));
+        CPPUNIT_ASSERT(readers_.has_earlier_reader(peers_, at_ms(1999)));
+        CPPUNIT_ASSERT(!readers_.has_earlier_reader(peers_, at_ms(2000)));
         CPPUNIT_ASSERT(readers_.is_primary(at_ms(2000)));
     }
 
-    void test_a_reader_that_cannot_read_leaves_it_to_the_others()
+    void test_a_host_that_cannot_read_is_no_reader()
     {
         readers_.record_report(host("a"), true, at_ms(0));
         readers_.record_report(host("a"), false, at_ms(100));
-        CPPUNIT_ASSERT(!readers_.has_earlier_reader(mates_, at_ms(100)));
+        CPPUNIT_ASSERT(!readers_.has_earlier_reader(peers_, at_ms(100)));
         readers_.record_own_read(at_ms(100));
         CPPUNIT_ASSERT(readers_.is_reader(at_ms(100)));
         readers_.clear_own_read();
         CPPUNIT_ASSERT(!readers_.is_reader(at_ms(100)));
     }
 
-    // Otherwise hosts that only believe that they could read would be waited
-    // for one after the other when the source is away.
-    void test_a_host_that_rests_is_no_reader()
+    // Otherwise, while the source is unavailable, the others would wait in turn
+    // for each host that only believes that it can read.
+    void test_a_host_without_recent_reads_is_no_reader()
     {
         CPPUNIT_ASSERT(!readers_.is_reader(at_ms(0)));
         readers_.record_own_read(at_ms(0));
@@ -78,17 +78,17 @@
         CPPUNIT_ASSERT(!readers_.is_reader(at_ms(3501)));
     }
 
-    // What a host of another cell reads takes another host's word to come
-    // here, and a cut between zones holds it up.
-    void test_only_readers_of_the_own_cell_are_relied_on()
+    // Updates from a reader in another cell reach this host only through a
+    // third one, and a network partition between zones delays them.
+    void test_only_readers_in_the_same_cell_are_relied_on()
     {
         readers_.record_report(host("aa"), true, at_ms(0));
         CPPUNIT_ASSERT(!readers_.is_primary(at_ms(0)));
-        CPPUNIT_ASSERT(!readers_.has_earlier_reader(mates_, at_ms(0)));
-        CPPUNIT_ASSERT(!readers_.has_reader(mates_, at_ms(0)));
+        CPPUNIT_ASSERT(!readers_.has_earlier_reader(peers_, at_ms(0)));
+        CPPUNIT_ASSERT(!readers_.has_reader(peers_, at_ms(0)));
     }
 
-    void test_an_older_word_of_a_third_host_changes_nothing()
+    void test_an_older_relayed_report_is_ignored()
     {
         readers_.record_report(host("a"), true, at_ms(1000));
         readers_.record_indirect_report(host("a"), at_ms(500));
@@ -97,7 +97,7 @@
         readers_.record_indirect_report(host("a"), at_ms(1500));
         CPPUNIT_ASSERT(
             readers_.first_other_reader(at_ms(1500))->second == at_ms(1500));
-        // Nobody tells this host that it reads.
+        // Other hosts' reports do not make this host a reader.
         readers_.record_indirect_report(host("b"), at_ms(1500));
         CPPUNIT_ASSERT(
             readers_.first_other_reader(at_ms(1500))->first == host("a"));
--- a/tests/entry/source_refresh_test.cpp
+++ b/tests/entry/source_refresh_test.cpp
@@ -13,8 +13,8 @@
 {
     CPPUNIT_TEST_SUITE(source_refresh_test);
     CPPUNIT_TEST(test_both_sources_have_to_be_read);
-    CPPUNIT_TEST(test_a_table_that_is_being_read_is_waited_for);
-    CPPUNIT_TEST(test_it_ends_without_an_answer);
+    CPPUNIT_TEST(test_waits_for_a_table_that_is_being_parsed);
+    CPPUNIT_TEST(test_ends_after_the_maximum_duration);
     CPPUNIT_TEST_SUITE_END();
 
     static time_point at_ms(int milliseconds)
@@ -36,7 +36,7 @@
         CPPUNIT_ASSERT(refresh.is_pending(false, at_ms(9000)));
     }
 
-    void test_a_table_that_is_being_read_is_waited_for()
+    void test_waits_for_a_table_that_is_being_parsed()
     {
         source_refresh refresh;
         CPPUNIT_ASSERT(!refresh.is_pending(true, at_ms(0)));
@@ -48,7 +48,7 @@
         CPPUNIT_ASSERT(!refresh.is_pending(true, at_ms(6000)));
     }
 
-    void test_it_ends_without_an_answer()
+    void test_ends_after_the_maximum_duration()
     {
         source_refresh refresh;
         refresh.begin(at_ms(5000));
--- a/tests/entry/table_fetch_scheduler_test.cpp
+++ b/tests/entry/table_fetch_scheduler_test.cpp
@@ -14,15 +14,15 @@
 class table_fetch_scheduler_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_fetch_scheduler_test);
-    CPPUNIT_TEST(test_the_source_has_a_moment);
-    CPPUNIT_TEST(test_one_is_asked_at_a_time);
-    CPPUNIT_TEST(test_the_newest_version_is_asked_for);
-    CPPUNIT_TEST(test_what_is_in_force_is_not_asked_for);
-    CPPUNIT_TEST(test_a_newer_version_is_asked_for_at_once_after_an_older_one);
-    CPPUNIT_TEST(test_useless_answers_are_not_asked_for_in_a_row);
+    CPPUNIT_TEST(test_the_source_has_a_grace_period);
+    CPPUNIT_TEST(test_one_neighbour_is_asked_at_a_time);
+    CPPUNIT_TEST(test_the_newest_version_is_requested);
+    CPPUNIT_TEST(test_the_active_version_is_not_requested);
+    CPPUNIT_TEST(test_a_newer_version_is_requested_right_after_an_older_one);
+    CPPUNIT_TEST(test_a_useless_response_delays_the_next_request);
     CPPUNIT_TEST(test_a_lost_neighbour_is_not_waited_for);
-    CPPUNIT_TEST(test_silent_neighbours_are_asked_ever_more_seldom);
-    CPPUNIT_TEST(test_hosts_begin_at_different_neighbours);
+    CPPUNIT_TEST(test_timeouts_double_for_unresponsive_neighbours);
+    CPPUNIT_TEST(test_hosts_start_with_different_neighbours);
     CPPUNIT_TEST_SUITE_END();
 
     static core::time_point at_ms(int milliseconds)
@@ -44,14 +44,14 @@
         return made;
     }
 
-    void test_the_source_has_a_moment()
+    void test_the_source_has_a_grace_period()
     {
         table_fetch_scheduler tested = lacking(5);
         CPPUNIT_ASSERT(!tested.next(at_ms(249)));
         CPPUNIT_ASSERT(tested.next(at_ms(250)));
     }
 
-    void test_one_is_asked_at_a_time()
+    void test_one_neighbour_is_asked_at_a_time()
     {
         table_fetch_scheduler tested = lacking(5);
         const auto first = tested.next(at_ms(250));
@@ -62,7 +62,7 @@
         CPPUNIT_ASSERT(first->neighbour != second->neighbour);
     }
 
-    void test_the_newest_version_is_asked_for()
+    void test_the_newest_version_is_requested()
     {
         table_fetch_scheduler tested = lacking(5);
         tested.record_version(host("d"), 7, at_ms(10));
@@ -70,7 +70,7 @@
         CPPUNIT_ASSERT(tested.next(at_ms(260)) == wanted);
     }
 
-    void test_what_is_in_force_is_not_asked_for()
+    void test_the_active_version_is_not_requested()
     {
         table_fetch_scheduler tested = lacking(5);
         tested.set_own_version(5);
@@ -79,8 +79,9 @@
         CPPUNIT_ASSERT(!tested.next(at_ms(5000)));
     }
 
-    // The answer may have been made before the newer version came.
-    void test_a_newer_version_is_asked_for_at_once_after_an_older_one()
+    // The response may have been sent before the newer version was active
+    // there.
+    void test_a_newer_version_is_requested_right_after_an_older_one()
     {
         table_fetch_scheduler tested = lacking(5);
         CPPUNIT_ASSERT(tested.next(at_ms(250)));
@@ -91,7 +92,7 @@
         CPPUNIT_ASSERT(tested.next(at_ms(601)) == wanted);
     }
 
-    void test_useless_answers_are_not_asked_for_in_a_row()
+    void test_a_useless_response_delays_the_next_request()
     {
         table_fetch_scheduler tested = lacking(5);
         const auto first = tested.next(at_ms(250));
@@ -112,22 +113,22 @@
         CPPUNIT_ASSERT(first->neighbour != second->neighbour);
     }
 
-    void test_silent_neighbours_are_asked_ever_more_seldom()
+    void test_timeouts_double_for_unresponsive_neighbours()
     {
         table_fetch_scheduler tested = lacking(5);
         std::multiset<core::host_name> asked;
         for (int now = 0; now < 60000; now += 50) {
-            if (const auto question = tested.next(at_ms(now)))
-                asked.insert(question->neighbour);
+            if (const auto request = tested.next(at_ms(now)))
+                asked.insert(request->neighbour);
         }
-        // After 1, 2, 4 and from then on each 8 s.
+        // After 1, 2 and 4 s, and then every 8 s.
         CPPUNIT_ASSERT_EQUAL(std::size_t{10}, asked.size());
         for (const char* name : {"a", "b", "c"})
             CPPUNIT_ASSERT(asked.count(host(name)) >= 3);
     }
 
-    // All hosts hear the first announcement at the same moment.
-    void test_hosts_begin_at_different_neighbours()
+    // All hosts receive the first announcement at the same moment.
+    void test_hosts_start_with_different_neighbours()
     {
         std::set<core::host_name> first;
         for (int at = 0; at < 20; ++at) {
--- a/tests/entry/table_fleet_test.cpp
+++ b/tests/entry/table_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Plays how versions of a large route table spread in a fleet of 300 hosts
-// with narrow links, by the decisions that entry hosts make. Only one host of
-// each cell reaches the source.
+// Simulates how versions of a large route table spread in a fleet of 300 hosts
+// with slow links, with the request logic of entry hosts. Only one host of each
+// cell reaches the source.
 
 #include <godwit/entry/table_fetch_scheduler.hpp>
 #include <godwit/entry/table_request_queue.hpp>
@@ -20,22 +20,22 @@
 using namespace godwit;
 
 constexpr std::size_t cells = 10;
-constexpr std::size_t hosts_a_cell = 30;
-constexpr std::size_t hosts = cells * hosts_a_cell;
+constexpr std::size_t hosts_per_cell = 30;
+constexpr std::size_t hosts = cells * hosts_per_cell;
 constexpr core::duration step = std::chrono::milliseconds(10);
 // 10 Mbit/s.
-constexpr std::size_t link_bytes_a_step = 12'500;
+constexpr std::size_t link_bytes_per_step = 12'500;
 // Of a table of 15,000 routes.
-constexpr std::size_t whole_bytes = 266'000;
+constexpr std::size_t full_table_bytes = 266'000;
 constexpr std::size_t change_bytes = 1'005;
-constexpr std::size_t word_bytes = 64;
+constexpr std::size_t announcement_bytes = 64;
 
-/// What one host sends another one, and what waits to be sent.
-struct narrow_link : std::enable_shared_from_this<narrow_link>
+/// A message from one host to another, and its bytes that are not sent yet.
+struct slow_link : std::enable_shared_from_this<slow_link>
 {
     std::size_t to = 0;
     std::size_t bytes = 0;
-    std::uint64_t version = 0; ///< Of the answer on its way; 0 for none.
+    std::uint64_t version = 0; ///< Of the response in flight; 0 for none.
 
     [[nodiscard]] static bool is_open() { return true; }
 
@@ -51,9 +51,9 @@
     std::uint64_t version = 0;
     std::size_t received_bytes = 0;
     entry::table_fetch_scheduler fetches;
-    /// Asked with the version that the asker has.
-    entry::table_request_queue<narrow_link, std::uint64_t> requests;
-    std::vector<std::shared_ptr<narrow_link>> sending;
+    /// Requests, each with the requesting host's version.
+    entry::table_request_queue<slow_link, std::uint64_t> requests;
+    std::vector<std::shared_ptr<slow_link>> sending;
 };
 
 class fleet
@@ -65,11 +65,11 @@
             hosts_.emplace_back(number);
     }
 
-    /// The version comes from the source to one host of each cell.
+    /// Delivers the version from the source to one host of each cell.
     void publish(std::uint64_t version)
     {
         for (std::size_t cell = 0; cell < cells; ++cell)
-            take(cell * hosts_a_cell, version);
+            receive(cell * hosts_per_cell, version);
     }
 
     void run(core::duration span)
@@ -83,33 +83,33 @@
         }
     }
 
-    /// How long until each host has the version.
+    /// Returns the time until every host has the version.
     core::duration spread(std::uint64_t version)
     {
         const core::time_point begin = now_;
-        while (!have_all(version) && now_ - begin < std::chrono::seconds(60))
+        while (!all_have(version) && now_ - begin < std::chrono::seconds(60))
             run(step);
         return now_ - begin;
     }
 
-    [[nodiscard]] std::size_t most_received() const
+    [[nodiscard]] std::size_t max_received() const
     {
         std::size_t most = 0;
         for (std::size_t at = 0; at < hosts; ++at) {
-            if (at % hosts_a_cell != 0)
+            if (at % hosts_per_cell != 0)
                 most = std::max(most, hosts_[at].received_bytes);
         }
         return most;
     }
 
-    void forget_received()
+    void reset_received()
     {
         for (host& each : hosts_)
             each.received_bytes = 0;
     }
 
 private:
-    [[nodiscard]] bool have_all(std::uint64_t version) const
+    [[nodiscard]] bool all_have(std::uint64_t version) const
     {
         return std::all_of(
             hosts_.begin(), hosts_.end(), [version](const host& each) {
@@ -117,11 +117,12 @@
             });
     }
 
-    // Those of the own cell, and the counterpart in each other one.
+    // Hosts of the same cell, and the counterpart in each other one.
     [[nodiscard]] static bool are_linked(std::size_t one, std::size_t other)
     {
-        return one != other && (one / hosts_a_cell == other / hosts_a_cell ||
-                                one % hosts_a_cell == other % hosts_a_cell);
+        return one != other &&
+               (one / hosts_per_cell == other / hosts_per_cell ||
+                one % hosts_per_cell == other % hosts_per_cell);
     }
 
     [[nodiscard]] static std::size_t number_of(const core::host_name& name)
@@ -129,46 +130,47 @@
         return std::stoul(name.value().substr(1));
     }
 
-    void take(std::size_t at, std::uint64_t version)
+    void receive(std::size_t at, std::uint64_t version)
     {
-        host& taker = hosts_[at];
-        if (version <= taker.version)
+        host& receiver = hosts_[at];
+        if (version <= receiver.version)
             return;
-        taker.version = version;
-        taker.fetches.set_own_version(version);
+        receiver.version = version;
+        receiver.fetches.set_own_version(version);
         const core::host_name name("h" + std::to_string(at));
         for (std::size_t other = 0; other < hosts; ++other) {
             if (!are_linked(at, other))
                 continue;
-            hosts_[other].received_bytes += word_bytes;
+            hosts_[other].received_bytes += announcement_bytes;
             hosts_[other].fetches.record_version(name, version, now_);
         }
     }
 
     void ask(std::size_t at)
     {
-        const auto question = hosts_[at].fetches.next(now_);
-        if (!question)
+        const auto request = hosts_[at].fetches.next(now_);
+        if (!request)
             return;
-        const std::size_t asked = number_of(question->neighbour);
-        auto link = std::make_shared<narrow_link>();
+        const std::size_t asked = number_of(request->neighbour);
+        auto link = std::make_shared<slow_link>();
         link->to = at;
         hosts_[asked].requests.add(link, hosts_[at].version, now_);
     }
 
-    // One answer after the other, as far as the link goes in a step.
+    // Sends the responses in order, as many bytes as the link carries in a
+    // step.
     void send(std::size_t at)
     {
         host& sender = hosts_[at];
         sender.requests.serve(
-            now_, [&sender](narrow_link& link, std::uint64_t known) {
+            now_, [&sender](slow_link& link, std::uint64_t known) {
                 link.version = sender.version;
                 link.bytes = known == 0
-                                 ? whole_bytes
+                                 ? full_table_bytes
                                  : (sender.version - known) * change_bytes;
                 sender.sending.push_back(link.shared_from_this());
             });
-        std::size_t left = link_bytes_a_step;
+        std::size_t left = link_bytes_per_step;
         while (left > 0 && !sender.sending.empty()) {
             const auto link = sender.sending.front();
             const std::size_t sent = std::min(left, link->bytes);
@@ -182,9 +184,9 @@
         }
     }
 
-    void answer(std::size_t from, const narrow_link& link)
+    void answer(std::size_t from, const slow_link& link)
     {
-        take(link.to, link.version);
+        receive(link.to, link.version);
         hosts_[link.to].fetches.record_response(
             core::host_name("h" + std::to_string(from)), now_);
     }
@@ -196,14 +198,15 @@
 class table_fleet_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_fleet_test);
-    CPPUNIT_TEST(test_a_small_change_is_everywhere_in_half_a_second);
-    CPPUNIT_TEST(test_a_burst_of_versions);
-    CPPUNIT_TEST(test_a_fleet_without_a_table_gets_it_in_time);
+    CPPUNIT_TEST(test_a_small_change_reaches_all_hosts_in_half_a_second);
+    CPPUNIT_TEST(test_a_burst_of_versions_reaches_all_hosts_in_time);
+    CPPUNIT_TEST(test_a_fleet_without_a_table_receives_it_in_time);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr core::duration aim = std::chrono::milliseconds(500);
-    static constexpr core::duration bound = std::chrono::seconds(4);
-    static constexpr std::size_t most_bytes_a_change = 4000;
+    static constexpr core::duration target = std::chrono::milliseconds(500);
+    static constexpr core::duration max_initial_spread =
+        std::chrono::seconds(4);
+    static constexpr std::size_t max_bytes_per_change = 4000;
 
     fleet tested_;
 
@@ -212,18 +215,18 @@
         tested_.publish(1);
         tested_.spread(1);
         tested_.run(std::chrono::seconds(5));
-        tested_.forget_received();
+        tested_.reset_received();
     }
 
-    void test_a_small_change_is_everywhere_in_half_a_second()
+    void test_a_small_change_reaches_all_hosts_in_half_a_second()
     {
         begin();
         tested_.publish(2);
-        CPPUNIT_ASSERT(tested_.spread(2) <= aim);
-        CPPUNIT_ASSERT(tested_.most_received() <= most_bytes_a_change);
+        CPPUNIT_ASSERT(tested_.spread(2) <= target);
+        CPPUNIT_ASSERT(tested_.max_received() <= max_bytes_per_change);
     }
 
-    void test_a_burst_of_versions()
+    void test_a_burst_of_versions_reaches_all_hosts_in_time()
     {
         constexpr std::uint64_t last = 12;
         begin();
@@ -231,16 +234,17 @@
             tested_.publish(version);
             tested_.run(std::chrono::milliseconds(130));
         }
-        CPPUNIT_ASSERT(tested_.spread(last) <= aim);
+        CPPUNIT_ASSERT(tested_.spread(last) <= target);
         CPPUNIT_ASSERT(
-            tested_.most_received() <= (last - 1) * most_bytes_a_change);
+            tested_.max_received() <= (last - 1) * max_bytes_per_change);
     }
 
-    // As after all of them lost power while the source turns most away.
-    void test_a_fleet_without_a_table_gets_it_in_time()
+    // As after a power loss of all hosts while the source refuses most
+    // requests.
+    void test_a_fleet_without_a_table_receives_it_in_time()
     {
         tested_.publish(1);
-        CPPUNIT_ASSERT(tested_.spread(1) <= bound);
+        CPPUNIT_ASSERT(tested_.spread(1) <= max_initial_spread);
     }
 };
 
--- a/tests/entry/table_history_test.cpp
+++ b/tests/entry/table_history_test.cpp
@@ -11,7 +11,7 @@
 using namespace godwit;
 using entry::table_history;
 
-/// As long as a table of some hundred routes, different in each version.
+/// As long as a table of some hundred routes, different for each version.
 std::string text_of(std::uint64_t version)
 {
     std::string text;
@@ -23,14 +23,14 @@
 class table_history_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_history_test);
-    CPPUNIT_TEST(test_who_has_a_version_gets_what_changed);
-    CPPUNIT_TEST(test_who_has_an_older_version_gets_each_change);
-    CPPUNIT_TEST(test_changes_are_handed_on);
-    CPPUNIT_TEST(test_who_has_an_unknown_text_gets_the_whole_one);
-    CPPUNIT_TEST(test_a_long_history_is_forgotten);
-    CPPUNIT_TEST(test_changes_of_another_text_are_refused);
-    CPPUNIT_TEST(test_changes_that_lie_are_refused);
-    CPPUNIT_TEST(test_without_a_table_there_is_nothing_to_tell);
+    CPPUNIT_TEST(test_a_host_one_version_behind_gets_one_change);
+    CPPUNIT_TEST(test_a_host_several_versions_behind_gets_each_change);
+    CPPUNIT_TEST(test_received_changes_are_forwarded);
+    CPPUNIT_TEST(test_a_host_with_an_unknown_text_gets_the_full_table);
+    CPPUNIT_TEST(test_old_changes_are_evicted);
+    CPPUNIT_TEST(test_changes_to_another_text_are_rejected);
+    CPPUNIT_TEST(test_invalid_changes_are_rejected);
+    CPPUNIT_TEST(test_there_are_no_changes_without_a_table);
     CPPUNIT_TEST_SUITE_END();
 
     static table_history with(std::uint64_t first, std::uint64_t last)
@@ -46,7 +46,7 @@
         return delta::content_digest(text_of(version));
     }
 
-    void test_who_has_a_version_gets_what_changed()
+    void test_a_host_one_version_behind_gets_one_change()
     {
         table_history ahead = with(1, 2);
         const table_history behind = with(1, 1);
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(behind.apply(changes).value() == text_of(2));
     }
 
-    void test_who_has_an_older_version_gets_each_change()
+    void test_a_host_several_versions_behind_gets_each_change()
     {
         table_history ahead = with(1, 5);
         const table_history behind = with(2, 2);
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT(behind.apply(changes).value() == text_of(5));
     }
 
-    void test_changes_are_handed_on()
+    void test_received_changes_are_forwarded()
     {
         table_history first = with(1, 4);
         table_history second = with(1, 2);
@@ -73,16 +73,16 @@
         second.set_from_changes(second.apply(changes).value(), changes);
         CPPUNIT_ASSERT(second.digest() == first.digest());
         const table_history third = with(2, 2);
-        const auto handed_on = second.changes_from(third.digest()).value();
-        CPPUNIT_ASSERT(handed_on == changes);
-        // What it had before them is still known.
+        const auto forwarded = second.changes_from(third.digest()).value();
+        CPPUNIT_ASSERT(forwarded == changes);
+        // The versions before these changes are still known.
         const table_history fourth = with(1, 1);
         const auto more = second.changes_from(fourth.digest()).value();
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, more.steps.size());
         CPPUNIT_ASSERT(fourth.apply(more).value() == text_of(4));
     }
 
-    void test_who_has_an_unknown_text_gets_the_whole_one()
+    void test_a_host_with_an_unknown_text_gets_the_full_table()
     {
         table_history ahead = with(1, 3);
         const table_history new_host;
@@ -91,7 +91,7 @@
             CPPUNIT_ASSERT(changes.base.empty());
             CPPUNIT_ASSERT(new_host.apply(changes).value() == text_of(3));
         }
-        // It may be taken by a host that has another one, too.
+        // A host with another text can also apply it.
         table_history other = with(9, 9);
         const auto changes = ahead.changes_from(other.digest()).value();
         other.set_from_changes(other.apply(changes).value(), changes);
@@ -100,7 +100,7 @@
         CPPUNIT_ASSERT(with(9, 9).apply(onwards).value() == text_of(3));
     }
 
-    void test_a_long_history_is_forgotten()
+    void test_old_changes_are_evicted()
     {
         table_history ahead = with(1, table_history::max_steps + 2);
         CPPUNIT_ASSERT(ahead.changes_from(digest_of(1)).value().base.empty());
@@ -109,7 +109,7 @@
             ahead.changes_from(digest_of(2)).value().steps.size());
     }
 
-    void test_changes_of_another_text_are_refused()
+    void test_changes_to_another_text_are_rejected()
     {
         table_history ahead = with(1, 2);
         const auto changes = ahead.changes_from(digest_of(1)).value();
@@ -118,7 +118,7 @@
         CPPUNIT_ASSERT(made.error().kind() == core::error_kind::expired);
     }
 
-    void test_changes_that_lie_are_refused()
+    void test_invalid_changes_are_rejected()
     {
         table_history ahead = with(1, 2);
         const table_history behind = with(1, 1);
@@ -133,7 +133,7 @@
         CPPUNIT_ASSERT(made.error().kind() == core::error_kind::protocol);
     }
 
-    void test_without_a_table_there_is_nothing_to_tell()
+    void test_there_are_no_changes_without_a_table()
     {
         table_history empty;
         CPPUNIT_ASSERT(empty.digest().empty());
--- a/tests/entry/table_loader_test.cpp
+++ b/tests/entry/table_loader_test.cpp
@@ -26,12 +26,12 @@
 class table_loader_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_loader_test);
-    CPPUNIT_TEST(test_others_are_served_between_slices);
-    CPPUNIT_TEST(test_tables_are_read_in_their_order);
-    CPPUNIT_TEST(test_what_is_no_news_is_not_read);
-    CPPUNIT_TEST(test_of_many_that_wait_the_oldest_are_dropped);
-    CPPUNIT_TEST(test_a_table_that_comes_as_another_ends_is_read);
-    CPPUNIT_TEST(test_an_exception_costs_one_table);
+    CPPUNIT_TEST(test_other_work_runs_between_slices);
+    CPPUNIT_TEST(test_tables_are_parsed_in_order);
+    CPPUNIT_TEST(test_known_tables_are_not_parsed);
+    CPPUNIT_TEST(test_the_oldest_waiting_tables_are_dropped);
+    CPPUNIT_TEST(test_a_table_that_arrives_as_parsing_ends_is_parsed);
+    CPPUNIT_TEST(test_an_exception_affects_one_table_only);
     CPPUNIT_TEST_SUITE_END();
 
     boost::asio::io_context io_{1};
@@ -48,7 +48,7 @@
          [this](const received_table& table) { return is_new_(table); },
          [this](const received_table& table, const auto& /*routes*/) {
              parsed_.push_back(table.text);
-             // It may replace itself.
+             // The callback may replace itself.
              const auto on_parsed = on_parsed_;
              on_parsed();
          }}};
@@ -69,7 +69,7 @@
 
     void run() { io_.run_for(std::chrono::seconds(3)); }
 
-    void test_others_are_served_between_slices()
+    void test_other_work_runs_between_slices()
     {
         int served = 0;
         std::function<void()> serve = [this, &served, &serve] {
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT(!tested_.is_busy());
     }
 
-    void test_tables_are_read_in_their_order()
+    void test_tables_are_parsed_in_order()
     {
         add("a");
         add("b");
@@ -94,7 +94,7 @@
         CPPUNIT_ASSERT(parsed_ == std::vector<std::string>({"a", "b"}));
     }
 
-    void test_what_is_no_news_is_not_read()
+    void test_known_tables_are_not_parsed()
     {
         is_new_ = [](const received_table& table) {
             return table.text != "a";
@@ -105,7 +105,7 @@
         CPPUNIT_ASSERT(parsed_ == std::vector<std::string>({"b"}));
     }
 
-    void test_of_many_that_wait_the_oldest_are_dropped()
+    void test_the_oldest_waiting_tables_are_dropped()
     {
         for (const char* text : {"a", "b", "c", "d", "e", "f"})
             add(text);
@@ -114,8 +114,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("f"), parsed_.back());
     }
 
-    // Whether the reading is over may not depend on who runs first.
-    void test_a_table_that_comes_as_another_ends_is_read()
+    // Guards against a lost wake-up: a table that arrives just as parsing ends
+    // must be parsed, whichever coroutine runs first.
+    void test_a_table_that_arrives_as_parsing_ends_is_parsed()
     {
         on_parsed_ = [this] {
             on_parsed_ = [] {
@@ -127,7 +128,7 @@
         CPPUNIT_ASSERT(parsed_ == std::vector<std::string>({"a", "b"}));
     }
 
-    void test_an_exception_costs_one_table()
+    void test_an_exception_affects_one_table_only()
     {
         add("throws");
         add("b");
