--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -92,7 +92,7 @@
     /// Records that the newest route table was read at its source.
     void record_table_source_read() { refresh_.record_table_read(); }
 
-    /// Records that the whole list of servers was read at its source.
+    /// Records that the full list of servers was read at its source.
     void record_full_list_read() { refresh_.record_server_list_read(); }
 
     /// Records that the source restarted from an older copy of the list:
@@ -100,7 +100,7 @@
     /// register again.
     void record_source_restore();
 
-    /// Records that the first whole list of servers is known, from the source
+    /// Records that the first full list of servers is known, from the source
     /// or from a neighbour. `source` is logged as its origin.
     void mark_servers_known(std::string_view source);
 
--- a/services/entry/include/godwit/entry/source_refresh.hpp
+++ b/services/entry/include/godwit/entry/source_refresh.hpp
@@ -23,7 +23,7 @@
     /// Records that the newest table was read at the source.
     void record_table_read() noexcept { needs_table_ = false; }
 
-    /// Records that the whole list of servers was read at the source.
+    /// Records that the full list of servers was read at the source.
     void record_server_list_read() noexcept { needs_servers_ = false; }
 
     /// Returns whether requests have to wait. `is_reading_table` says that a
