--- a/tests/entry/table_fetch_scheduler_test.cpp
+++ b/tests/entry/table_fetch_scheduler_test.cpp
@@ -37,11 +37,11 @@
 
     static table_fetch_scheduler lacking(std::uint64_t version)
     {
-        table_fetch_scheduler made(host("self"));
-        made.set_own_version(version - 1);
+        table_fetch_scheduler scheduler(host("self"));
+        scheduler.set_own_version(version - 1);
         for (const char* name : {"a", "b", "c"})
-            made.record_version(host(name), version, at_ms(0));
-        return made;
+            scheduler.record_version(host(name), version, at_ms(0));
+        return scheduler;
     }
 
     void test_the_source_has_a_grace_period()
--- a/tests/entry/table_fleet_test.cpp
+++ b/tests/entry/table_fleet_test.cpp
@@ -72,14 +72,14 @@
             receive(cell * hosts_per_cell, version);
     }
 
-    void run(core::duration span)
+    void run(core::duration duration)
     {
-        const core::time_point end = now_ + span;
+        const core::time_point end = now_ + duration;
         for (; now_ < end; now_ += step) {
             for (std::size_t at = 0; at < hosts; ++at)
                 send(at);
             for (std::size_t at = 0; at < hosts; ++at)
-                ask(at);
+                send_request(at);
         }
     }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    void ask(std::size_t at)
+    void send_request(std::size_t at)
     {
         const auto request = hosts_[at].fetches.next(now_);
         if (!request)
@@ -180,11 +180,11 @@
             if (link->bytes > 0)
                 return;
             sender.sending.erase(sender.sending.begin());
-            answer(at, *link);
+            deliver(at, *link);
         }
     }
 
-    void answer(std::size_t from, const slow_link& link)
+    void deliver(std::size_t from, const slow_link& link)
     {
         receive(link.to, link.version);
         hosts_[link.to].fetches.record_response(
--- a/tests/entry/table_history_test.cpp
+++ b/tests/entry/table_history_test.cpp
@@ -35,10 +35,10 @@
 
     static table_history with(std::uint64_t first, std::uint64_t last)
     {
-        table_history made;
+        table_history history;
         for (std::uint64_t version = first; version <= last; ++version)
-            made.set_full(version, text_of(version));
-        return made;
+            history.set_full(version, text_of(version));
+        return history;
     }
 
     static std::string digest_of(std::uint64_t version)
@@ -113,9 +113,9 @@
     {
         table_history ahead = with(1, 2);
         const auto changes = ahead.changes_from(digest_of(1)).value();
-        const auto made = with(5, 5).apply(changes);
-        CPPUNIT_ASSERT(!made);
-        CPPUNIT_ASSERT(made.error().kind() == core::error_kind::expired);
+        const auto result = with(5, 5).apply(changes);
+        CPPUNIT_ASSERT(!result);
+        CPPUNIT_ASSERT(result.error().kind() == core::error_kind::expired);
     }
 
     void test_invalid_changes_are_rejected()
@@ -124,13 +124,13 @@
         const table_history behind = with(1, 1);
         auto changes = ahead.changes_from(behind.digest()).value();
         changes.steps[0].made = digest_of(3);
-        auto made = behind.apply(changes);
-        CPPUNIT_ASSERT(!made);
-        CPPUNIT_ASSERT(made.error().kind() == core::error_kind::protocol);
+        auto result = behind.apply(changes);
+        CPPUNIT_ASSERT(!result);
+        CPPUNIT_ASSERT(result.error().kind() == core::error_kind::protocol);
         changes.steps.clear();
-        made = behind.apply(changes);
-        CPPUNIT_ASSERT(!made);
-        CPPUNIT_ASSERT(made.error().kind() == core::error_kind::protocol);
+        result = behind.apply(changes);
+        CPPUNIT_ASSERT(!result);
+        CPPUNIT_ASSERT(result.error().kind() == core::error_kind::protocol);
     }
 
     void test_there_are_no_changes_without_a_table()
