--- a/tests/platform_adapter/crashing_requests_test.cpp
+++ b/tests/platform_adapter/crashing_requests_test.cpp
@@ -2,8 +2,8 @@
 // another as long as its caller repeats it.
 
 #include "fake_neighbours.hpp"
-#include "stream_pieces.hpp"
-#include "world.hpp"
+#include "stream_helpers.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_adapter/fake_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -1,6 +1,6 @@
 #include "fake_neighbours.hpp"
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <boost/asio/post.hpp>
 #include <boost/asio/use_future.hpp>
--- a/tests/platform_adapter/hostile_values_test.cpp
+++ b/tests/platform_adapter/hostile_values_test.cpp
@@ -6,7 +6,7 @@
 // no later table was ever taken. A body limit beyond all memory let one
 // caller's length end the process.
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <godwit/platform_adapter/request_codec.hpp>
 #include <godwit/platform_adapter/table_codec.hpp>
--- a/tests/platform_adapter/new_host_test.cpp
+++ b/tests/platform_adapter/joining_host_test.cpp
@@ -1,7 +1,7 @@
 // When a whole fleet starts, no host has heard another one yet. Each that then
 // took itself for the quick reader asked every engine for its report.
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <godwit/platform_adapter/request_codec.hpp>
 
--- a/tests/platform_adapter/restored_store_test.cpp
+++ b/tests/platform_adapter/restored_store_test.cpp
@@ -1,7 +1,7 @@
 // A store that restarts from an older copy of its records loses what came since
 // and gives its offsets out again.
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_adapter/server_limits_test.cpp
+++ b/tests/platform_adapter/server_limits_test.cpp
@@ -2,8 +2,8 @@
 // answers.
 
 #include "fake_neighbours.hpp"
-#include "stream_pieces.hpp"
-#include "world.hpp"
+#include "stream_helpers.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_adapter/suspended_host_test.cpp
+++ b/tests/platform_adapter/suspended_host_test.cpp
@@ -1,7 +1,7 @@
 // A machine that was suspended knows nothing of what happened meanwhile, and
 // its requests arrive before the answers of the store do.
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_adapter/table_changes_test.cpp
+++ b/tests/platform_adapter/table_changes_test.cpp
@@ -2,7 +2,7 @@
 // large the table is, and what is made of changes is the operator's text.
 
 #include "fake_neighbours.hpp"
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <godwit/delta/content_digest.hpp>
 #include <godwit/entry/table_history.hpp>
--- a/tests/platform_adapter/table_questions_test.cpp
+++ b/tests/platform_adapter/table_pull_test.cpp
@@ -8,7 +8,7 @@
 // table_known 5,783 times: four of five tables were no news when they came.
 
 #include "fake_neighbours.hpp"
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_adapter/world.cpp
+++ b/tests/platform_adapter/testbed.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include "suspended_clock.hpp"
 
--- a/tests/platform_adapter/entries_world_test.cpp
+++ b/tests/platform_adapter/topic_records_test.cpp
@@ -1,5 +1,5 @@
-#include "stream_pieces.hpp"
-#include "world.hpp"
+#include "stream_helpers.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
