--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -35,12 +35,12 @@
     CPPUNIT_TEST(test_malformed_tables_are_refused);
     CPPUNIT_TEST(test_a_server_is_read);
     CPPUNIT_TEST(test_malformed_servers_are_refused);
-    CPPUNIT_TEST(test_records_survive_every_cut);
+    CPPUNIT_TEST(test_truncated_records_are_refused);
     CPPUNIT_TEST(test_newest_pages);
-    CPPUNIT_TEST(test_call_terms);
-    CPPUNIT_TEST(test_forwarded_fields_are_the_systems);
-    CPPUNIT_TEST(test_fields_of_a_connection_end_with_it);
-    CPPUNIT_TEST(test_copy_answers);
+    CPPUNIT_TEST(test_request_metadata);
+    CPPUNIT_TEST(test_forged_system_fields_are_dropped);
+    CPPUNIT_TEST(test_hop_by_hop_fields_are_not_forwarded);
+    CPPUNIT_TEST(test_copy_responses);
     CPPUNIT_TEST(test_holds);
     CPPUNIT_TEST(test_reports);
     CPPUNIT_TEST_SUITE_END();
@@ -102,26 +102,26 @@
             CPPUNIT_ASSERT(!read_server("i-1", text));
     }
 
-    void test_records_survive_every_cut()
+    void test_truncated_records_are_refused()
     {
         const std::string head =
             std::string(7, '\0') + '\x07' + std::string(7, '\0') + '\x02';
-        const std::string whole =
+        const std::string complete =
             head + write_record("a", "value") + write_record("b", "");
-        const auto page = read_records(whole, 5).value();
+        const auto page = read_records(complete, 5).value();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, page.records.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, page.next_offset);
         CPPUNIT_ASSERT_EQUAL(std::string("value"), *page.records[0].value);
         CPPUNIT_ASSERT(!page.records[1].value);
-        for (std::size_t size = 0; size < whole.size(); ++size) {
-            const auto cut = read_records(whole.substr(0, size), 5);
+        for (std::size_t size = 0; size < complete.size(); ++size) {
+            const auto truncated = read_records(complete.substr(0, size), 5);
             const bool is_between =
-                size == head.size() || size == whole.size() - 6;
-            CPPUNIT_ASSERT_EQUAL(is_between, cut.has_value());
+                size == head.size() || size == complete.size() - 6;
+            CPPUNIT_ASSERT_EQUAL(is_between, truncated.has_value());
         }
-        // More records than the log says that it holds.
-        CPPUNIT_ASSERT(!read_records(whole, 6));
-        // A length that no body of this size can hold.
+        // More records than up to the log's end.
+        CPPUNIT_ASSERT(!read_records(complete, 6));
+        // A length beyond the size of the body.
         CPPUNIT_ASSERT(!read_records(head + "\xff\xff\xff\xff....", 5));
     }
 
@@ -139,7 +139,7 @@
             CPPUNIT_ASSERT(!read_newest(text));
     }
 
-    void test_call_terms()
+    void test_request_metadata()
     {
         const http::header_fields fields{
             {"X-Godwitworks-Attempt-Id", "a1"},
@@ -147,24 +147,24 @@
             {"X-Godwitworks-Token-Usage", "1460,80"},
             {"X-Godwitworks-Length-Hint", "33.5"},
             {"Authorization", "bearer k1"}};
-        const auto terms = request_codec::read_request_metadata(fields);
-        CPPUNIT_ASSERT_EQUAL(std::string("a1"), terms.attempt_id);
-        CPPUNIT_ASSERT_EQUAL(std::string("k1"), terms.key);
-        CPPUNIT_ASSERT(*terms.time_left == std::chrono::seconds(39));
+        const auto metadata = request_codec::read_request_metadata(fields);
+        CPPUNIT_ASSERT_EQUAL(std::string("a1"), metadata.attempt_id);
+        CPPUNIT_ASSERT_EQUAL(std::string("k1"), metadata.key);
+        CPPUNIT_ASSERT(*metadata.time_left == std::chrono::seconds(39));
         CPPUNIT_ASSERT_EQUAL(
-            std::uint32_t{33}, *terms.generation->expected_output_tokens);
+            std::uint32_t{33}, *metadata.generation->expected_output_tokens);
         for (const char* size : {"", "x", "5", "5,", ",5", "-1,5", "5,5x"}) {
-            const http::header_fields odd{
+            const http::header_fields malformed{
                 {"X-Godwitworks-Token-Usage", size},
                 {"X-Godwitworks-Deadline-Ms", size}};
-            const auto read = request_codec::read_request_metadata(odd);
+            const auto read = request_codec::read_request_metadata(malformed);
             CPPUNIT_ASSERT(!read.generation);
             CPPUNIT_ASSERT(
                 read.time_left.has_value() == (std::string(size) == "5"));
         }
     }
 
-    void test_forwarded_fields_are_the_systems()
+    void test_forged_system_fields_are_dropped()
     {
         const http::header_fields received{
             {"X-Godwitworks-Attempt-Id", "a1"},
@@ -176,11 +176,11 @@
             {"X-Godwitworks-Request-Priority", "0"},
             {"Authorization", "Bearer k1"},
             {"Accept", "x"}};
-        entry::forwarding_metadata terms;
-        terms.server = placement::server_id("i-1");
-        terms.time_left = std::chrono::milliseconds(1500);
-        terms.organisation = core::organisation_name("north");
-        const auto sent = request_codec::forwarded_fields(received, terms);
+        entry::forwarding_metadata metadata;
+        metadata.server = placement::server_id("i-1");
+        metadata.time_left = std::chrono::milliseconds(1500);
+        metadata.organisation = core::organisation_name("north");
+        const auto sent = request_codec::forwarded_fields(received, metadata);
         const http::header_fields expected{
             {"X-Godwitworks-Attempt-Id", "a1"},
             {"Accept", "x"},
@@ -190,7 +190,7 @@
         CPPUNIT_ASSERT(expected == sent);
     }
 
-    void test_fields_of_a_connection_end_with_it()
+    void test_hop_by_hop_fields_are_not_forwarded()
     {
         const http::header_fields received{
             {"Connection", "close, X-Own"},
@@ -201,7 +201,7 @@
         CPPUNIT_ASSERT(expected == request_codec::returned_fields(received));
     }
 
-    void test_copy_answers()
+    void test_copy_responses()
     {
         const auto read = [](unsigned status, const std::string& body) {
             return request_codec::read_copy_response({status, {}, body});
@@ -220,11 +220,11 @@
         const auto table = read_table(table_text).value();
         const auto* lm = table->find_service(core::service_name("lm"));
         CPPUNIT_ASSERT(lm->engine->max_hold == std::chrono::seconds(2));
-        const http::request order = request_codec::write_hold_request(
+        const http::request request = request_codec::write_hold_request(
             {3200, std::chrono::milliseconds(1500)});
-        CPPUNIT_ASSERT_EQUAL(std::string("/api/hold-take"), order.target);
+        CPPUNIT_ASSERT_EQUAL(std::string("/api/hold-take"), request.target);
         CPPUNIT_ASSERT_EQUAL(
-            std::string(R"({"tokens":3200,"ttl_ms":1500})"), order.body);
+            std::string(R"({"tokens":3200,"ttl_ms":1500})"), request.body);
         const auto read = [](unsigned status, const std::string& body) {
             return request_codec::read_hold_response({status, {}, body});
         };
@@ -235,12 +235,12 @@
         CPPUNIT_ASSERT(read(404, "").status == hold_status::failed);
         CPPUNIT_ASSERT(read(200, "{}").status == hold_status::failed);
         CPPUNIT_ASSERT(read(200, "[").status == hold_status::failed);
-        entry::forwarding_metadata terms;
-        terms.server = placement::server_id("i-1");
-        terms.hold = "q1";
+        entry::forwarding_metadata metadata;
+        metadata.server = placement::server_id("i-1");
+        metadata.hold = "q1";
         http::header_fields received;
         received.add("X-Godwitworks-Hold", "a caller's own");
-        const auto sent = request_codec::forwarded_fields(received, terms);
+        const auto sent = request_codec::forwarded_fields(received, metadata);
         CPPUNIT_ASSERT(sent.find("X-Godwitworks-Hold") == "q1");
     }
 
--- a/tests/platform_adapter/crashing_requests_test.cpp
+++ b/tests/platform_adapter/crashing_requests_test.cpp
@@ -28,18 +28,19 @@
 // Crashes the server after the response head for `crashing_body`.
 fake_server::request_handler crash_or_answer(fake_server& server)
 {
-    return [&server](http::exchange& asked) -> asio::awaitable<void> {
-        if (asked.received().body == crashing_body) {
-            [[maybe_unused]] const auto begun = co_await asked.start_stream(
-                200, fake_server::signed_fields(asked));
+    return [&server](http::exchange& exchange) -> asio::awaitable<void> {
+        if (exchange.received().body == crashing_body) {
+            [[maybe_unused]] const auto started =
+                co_await exchange.start_stream(
+                    200, fake_server::signed_fields(exchange));
             server.crash();
-            asked.cut();
+            exchange.cut();
             co_return;
         }
-        http::response whole =
-            fake_server::signed_response(asked, 200, event(1));
+        http::response response =
+            fake_server::signed_response(exchange, 200, event(1));
         [[maybe_unused]] const auto sent =
-            co_await asked.respond(std::move(whole));
+            co_await exchange.respond(std::move(response));
     };
 }
 
@@ -47,22 +48,22 @@
 {
     CPPUNIT_TEST_SUITE(crashing_requests_test);
     CPPUNIT_TEST(test_a_repeated_stream_crashes_three_servers_at_most);
-    CPPUNIT_TEST(test_a_repeated_whole_call_crashes_three_servers_at_most);
+    CPPUNIT_TEST(test_a_repeated_buffered_call_crashes_three_servers_at_most);
     CPPUNIT_TEST(test_automatic_retries_crash_three_servers_at_most);
     CPPUNIT_TEST(test_a_quarantined_request_is_refused_without_retry_after);
     CPPUNIT_TEST(test_other_requests_are_served_during_a_quarantine);
     CPPUNIT_TEST(test_a_completed_run_between_crashes_prevents_a_quarantine);
     CPPUNIT_TEST(test_runs_lost_at_a_server_that_still_answers_do_not_count);
-    CPPUNIT_TEST(test_runs_lost_at_a_leaving_server_do_not_count);
+    CPPUNIT_TEST(test_runs_lost_at_a_draining_server_do_not_count);
     CPPUNIT_TEST(test_crashes_reported_by_neighbours_count);
     CPPUNIT_TEST(test_a_new_neighbour_receives_the_known_crashes);
     CPPUNIT_TEST(test_a_malformed_report_changes_nothing);
     CPPUNIT_TEST(test_a_stored_quarantine_applies_after_all_hosts_end);
     CPPUNIT_TEST(test_deleting_the_record_ends_the_quarantine);
-    CPPUNIT_TEST(test_a_quarantine_that_the_store_lost_is_written_again);
+    CPPUNIT_TEST(test_a_quarantine_that_the_store_lost_is_rewritten);
     CPPUNIT_TEST(test_a_restored_store_does_not_bring_back_a_quarantine);
     CPPUNIT_TEST(test_a_record_that_is_written_after_its_end_is_removed);
-    CPPUNIT_TEST(test_a_neighbour_hears_of_a_completed_run_that_it_missed);
+    CPPUNIT_TEST(test_a_neighbour_is_told_of_a_completed_run_that_it_missed);
     CPPUNIT_TEST_SUITE_END();
 
     testbed testbed_;
@@ -142,7 +143,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, crash_count());
     }
 
-    void test_a_repeated_whole_call_crashes_three_servers_at_most()
+    void test_a_repeated_buffered_call_crashes_three_servers_at_most()
     {
         begin();
         repeat_crashing_request("/plain/");
@@ -189,24 +190,24 @@
     {
         begin();
         std::atomic<bool> is_crashing = false;
-        const auto request_handler = [&is_crashing](fake_server& server) {
-            return [&is_crashing,
-                    &server](http::exchange& asked) -> asio::awaitable<void> {
-                if (is_crashing && asked.received().body == "probe") {
+        const auto make_handler = [&is_crashing](fake_server& server) {
+            return [&is_crashing, &server](
+                       http::exchange& exchange) -> asio::awaitable<void> {
+                if (is_crashing && exchange.received().body == "probe") {
                     server.crash();
-                    asked.cut();
+                    exchange.cut();
                     co_return;
                 }
-                http::response whole =
-                    fake_server::signed_response(asked, 200, "hello");
+                http::response response =
+                    fake_server::signed_response(exchange, 200, "hello");
                 [[maybe_unused]] const auto sent =
-                    co_await asked.respond(std::move(whole));
+                    co_await exchange.respond(std::move(response));
             };
         };
         testbed_.first_server().set_handler(
-            request_handler(testbed_.first_server()));
+            make_handler(testbed_.first_server()));
         testbed_.second_server().set_handler(
-            request_handler(testbed_.second_server()));
+            make_handler(testbed_.second_server()));
         for (int round = 0; round < 6; ++round) {
             is_crashing = true;
             const auto lost = testbed_.try_call("/plain/", "probe");
@@ -222,24 +223,24 @@
     // A broken connection alone is not a crash.
     void test_runs_lost_at_a_server_that_still_answers_do_not_count()
     {
-        const auto request_handler = [](const std::string& report) {
-            return [report](http::exchange& asked) -> asio::awaitable<void> {
-                if (asked.received().body == crashing_body) {
-                    asked.cut();
+        const auto make_handler = [](const std::string& report) {
+            return [report](http::exchange& exchange) -> asio::awaitable<void> {
+                if (exchange.received().body == crashing_body) {
+                    exchange.cut();
                     co_return;
                 }
-                http::response whole =
-                    fake_server::signed_response(asked, 200, report);
+                http::response response =
+                    fake_server::signed_response(exchange, 200, report);
                 [[maybe_unused]] const auto sent =
-                    co_await asked.respond(std::move(whole));
+                    co_await exchange.respond(std::move(response));
             };
         };
-        // The servers are listed without a start, so a report that contains one
-        // must not count as a restart.
+        // The records of the servers have no start time, so a report that has
+        // one must not count as a restart.
         testbed_.first_server().set_handler(
-            request_handler(R"({"state":"ready","born":5})"));
+            make_handler(R"({"state":"ready","born":5})"));
         testbed_.second_server().set_handler(
-            request_handler(R"({"state":"ready","born":5})"));
+            make_handler(R"({"state":"ready","born":5})"));
         testbed_.start();
         [[maybe_unused]] const auto lost =
             testbed_.try_call("/plain/", crashing_body);
@@ -249,30 +250,30 @@
                 return process.context().quarantine.empty();
             }));
         testbed_.first_server().set_handler(
-            request_handler(R"({"state":"ready"})"));
+            make_handler(R"({"state":"ready"})"));
         testbed_.second_server().set_handler(
-            request_handler(R"({"state":"ready"})"));
+            make_handler(R"({"state":"ready"})"));
         repeat_crashing_request("/plain/");
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, crash_count());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
 
-    // A server that leaves breaks the connections of its remaining runs when it
-    // ends.
-    void test_runs_lost_at_a_leaving_server_do_not_count()
+    // A draining server closes the connections of its remaining runs when it
+    // stops.
+    void test_runs_lost_at_a_draining_server_do_not_count()
     {
         constexpr int restarts = 4;
         for (int restart = 0; restart < restarts; ++restart) {
             testbed_.first_server().set_handler(
-                [this](http::exchange& asked) -> asio::awaitable<void> {
-                    [[maybe_unused]] const auto begun =
-                        co_await asked.start_stream(
-                            200, fake_server::signed_fields(asked));
+                [this](http::exchange& exchange) -> asio::awaitable<void> {
+                    [[maybe_unused]] const auto started =
+                        co_await exchange.start_stream(
+                            200, fake_server::signed_fields(exchange));
                     [[maybe_unused]] const auto first =
-                        co_await asked.write_chunk(event(1));
-                    co_await sleep(asked, 300);
+                        co_await exchange.write_chunk(event(1));
+                    co_await sleep(exchange, 300);
                     testbed_.first_server().crash();
-                    asked.cut();
+                    exchange.cut();
                 });
             if (restart == 0)
                 testbed_.start_with_first_server();
@@ -382,7 +383,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
 
-    void test_a_quarantine_that_the_store_lost_is_written_again()
+    void test_a_quarantine_that_the_store_lost_is_rewritten()
     {
         begin();
         testbed_.store().back_up();
@@ -414,7 +415,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
 
-    std::pair<std::string, std::string> quarantine_and_end()
+    std::pair<std::string, std::string> start_and_end_quarantine()
     {
         begin();
         repeat_crashing_request("/stream/");
@@ -427,10 +428,10 @@
         return record;
     }
 
-    // A write that is retried may overtake the one that ends the quarantine.
+    // A retried write may be applied after the one that ends the quarantine.
     void test_a_record_that_is_written_after_its_end_is_removed()
     {
-        const auto [key, value] = quarantine_and_end();
+        const auto [key, value] = start_and_end_quarantine();
         testbed_.store().put("keyed.hosts", key, value);
         testbed::wait_until("the record's end", [this, &key = key] {
             return !testbed_.store().has("keyed.hosts", key);
@@ -438,22 +439,23 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
     }
 
-    void test_a_neighbour_hears_of_a_completed_run_that_it_missed()
+    void test_a_neighbour_is_told_of_a_completed_run_that_it_missed()
     {
         fake_neighbours others(1, testbed_.neighbours(), &no_table);
-        const auto [key, value] = quarantine_and_end();
-        const auto told = others.crash_reports();
-        const auto crashes =
-            std::find_if(told.begin(), told.end(), [](const auto& each) {
-                return !each.reports.empty();
-            });
-        CPPUNIT_ASSERT(crashes != told.end());
+        const auto [key, value] = start_and_end_quarantine();
+        const auto received_before = others.crash_reports();
+        const auto crashes = std::find_if(
+            received_before.begin(),
+            received_before.end(),
+            [](const auto& each) { return !each.reports.empty(); });
+        CPPUNIT_ASSERT(crashes != received_before.end());
         others.broadcast(*crashes);
-        testbed::wait_until("the correction", [&others, &told] {
-            const auto now_told = others.crash_reports();
+        testbed::wait_until("the correction", [&others, &received_before] {
+            const auto received_now = others.crash_reports();
             return std::any_of(
-                now_told.begin() + static_cast<std::ptrdiff_t>(told.size()),
-                now_told.end(),
+                received_now.begin() +
+                    static_cast<std::ptrdiff_t>(received_before.size()),
+                received_now.end(),
                 [](const auto& each) { return !each.completed.empty(); });
         });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, quarantined_count());
--- a/tests/platform_adapter/entry_host_test.cpp
+++ b/tests/platform_adapter/entry_host_test.cpp
@@ -16,56 +16,57 @@
 using namespace godwit::platform_adapter::test;
 namespace asio = boost::asio;
 
-fake_server::request_handler answers(unsigned status, const std::string& body)
+fake_server::request_handler
+respond_with(unsigned status, const std::string& body)
 {
-    return [status, body](http::exchange& asked) -> asio::awaitable<void> {
-        http::response whole =
-            fake_server::signed_response(asked, status, body);
+    return [status, body](http::exchange& exchange) -> asio::awaitable<void> {
+        http::response response =
+            fake_server::signed_response(exchange, status, body);
         if (status == 503)
-            whole.fields.set("X-Godwitworks-Not-Executed", "1");
+            response.fields.set("X-Godwitworks-Not-Executed", "1");
         [[maybe_unused]] const auto sent =
-            co_await asked.respond(std::move(whole));
+            co_await exchange.respond(std::move(response));
     };
 }
 
-class world_test : public CppUnit::TestFixture
+class entry_host_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(world_test);
-    CPPUNIT_TEST(test_a_call_reaches_a_server_and_its_answer_the_caller);
-    CPPUNIT_TEST(test_routes_and_keys);
-    CPPUNIT_TEST(test_without_a_table_nothing_is_refused_for_good);
+    CPPUNIT_TEST_SUITE(entry_host_test);
+    CPPUNIT_TEST(test_a_call_is_forwarded_and_answered);
+    CPPUNIT_TEST(test_unknown_routes_and_keys_are_refused);
+    CPPUNIT_TEST(test_without_a_table_callers_may_retry);
     CPPUNIT_TEST(test_a_rejected_request_goes_to_another_server);
-    CPPUNIT_TEST(test_a_request_that_all_reject_has_not_run);
-    CPPUNIT_TEST(test_a_lost_answer_is_not_asked_for_again);
-    CPPUNIT_TEST(test_what_may_run_once_runs_once_whatever_its_attempts);
-    CPPUNIT_TEST(test_a_failure_is_repeated_once_where_it_may_be);
-    CPPUNIT_TEST(test_an_answer_outlives_a_repeat_that_fails);
-    CPPUNIT_TEST(test_an_unsigned_success_is_no_answer);
-    CPPUNIT_TEST(test_an_answer_to_another_request_is_passed_over);
-    CPPUNIT_TEST(test_a_newer_table_replaces_and_an_older_one_does_not);
-    CPPUNIT_TEST(test_a_table_that_cannot_be_read_changes_nothing);
-    CPPUNIT_TEST(test_a_store_that_is_away_changes_nothing);
-    CPPUNIT_TEST(test_a_store_that_turns_away_is_asked_ever_more_seldom);
-    CPPUNIT_TEST(test_history_that_is_dropped_is_read_anew);
-    CPPUNIT_TEST(test_a_stream_arrives_whole);
-    CPPUNIT_TEST(test_a_stream_that_is_rejected_goes_to_another_server);
-    CPPUNIT_TEST(test_a_stream_begins_where_room_is_kept);
-    CPPUNIT_TEST(test_a_server_that_keeps_no_room_is_asked_once);
-    CPPUNIT_TEST(test_without_holds_the_priority_is_passed_on);
-    CPPUNIT_TEST(test_a_stream_that_finds_no_room_has_not_run);
-    CPPUNIT_TEST(test_a_server_that_is_silent_gets_no_stream);
-    CPPUNIT_TEST(test_a_server_without_holds_gets_the_stream);
-    CPPUNIT_TEST(test_room_that_nobody_uses_is_given_back);
-    CPPUNIT_TEST(test_a_broken_stream_does_not_look_complete);
-    CPPUNIT_TEST(test_a_leaving_server_gets_nothing_new);
+    CPPUNIT_TEST(test_a_request_rejected_by_all_servers_is_reported_not_run);
+    CPPUNIT_TEST(test_a_request_with_a_lost_response_is_not_retried);
+    CPPUNIT_TEST(test_a_non_idempotent_request_runs_once_despite_max_attempts);
+    CPPUNIT_TEST(test_only_idempotent_requests_are_retried_after_a_failure);
+    CPPUNIT_TEST(test_a_failed_retry_does_not_discard_the_first_response);
+    CPPUNIT_TEST(test_an_unsigned_success_is_rejected);
+    CPPUNIT_TEST(test_a_response_to_another_request_is_discarded);
+    CPPUNIT_TEST(test_only_newer_tables_are_applied);
+    CPPUNIT_TEST(test_malformed_records_are_ignored);
+    CPPUNIT_TEST(test_requests_are_served_during_a_store_outage);
+    CPPUNIT_TEST(test_retries_against_a_failing_store_back_off);
+    CPPUNIT_TEST(test_a_compacted_topic_is_resynced);
+    CPPUNIT_TEST(test_a_stream_is_delivered_completely);
+    CPPUNIT_TEST(test_a_rejected_stream_goes_to_another_server);
+    CPPUNIT_TEST(test_a_stream_goes_to_the_server_that_grants_a_hold);
+    CPPUNIT_TEST(test_a_server_that_refuses_a_hold_is_not_asked_again);
+    CPPUNIT_TEST(test_without_holds_the_priority_is_forwarded);
+    CPPUNIT_TEST(test_a_stream_without_any_hold_is_reported_not_run);
+    CPPUNIT_TEST(test_an_unresponsive_server_gets_no_stream);
+    CPPUNIT_TEST(test_a_server_without_holds_still_gets_the_stream);
+    CPPUNIT_TEST(test_an_unused_hold_is_released);
+    CPPUNIT_TEST(test_an_interrupted_stream_does_not_look_complete);
+    CPPUNIT_TEST(test_a_draining_server_gets_no_new_requests);
     CPPUNIT_TEST(test_metrics_and_state_are_served);
-    CPPUNIT_TEST(test_changed_settings_are_taken_over);
-    CPPUNIT_TEST(test_settings_that_cannot_be_read_change_nothing);
+    CPPUNIT_TEST(test_reloaded_settings_are_applied);
+    CPPUNIT_TEST(test_invalid_settings_are_ignored);
     CPPUNIT_TEST_SUITE_END();
 
     testbed testbed_;
 
-    void test_a_call_reaches_a_server_and_its_answer_the_caller()
+    void test_a_call_is_forwarded_and_answered()
     {
         testbed_.start();
         const auto answer = testbed_.call("POST", "/plain/7?x=1");
@@ -87,7 +88,7 @@
         CPPUNIT_ASSERT(fields.find("X-Godwitworks-Deadline-Ms"));
     }
 
-    void test_routes_and_keys()
+    void test_unknown_routes_and_keys_are_refused()
     {
         testbed_.start();
         CPPUNIT_ASSERT_EQUAL(404U, testbed_.call("GET", "/none/").status);
@@ -95,7 +96,7 @@
         CPPUNIT_ASSERT_EQUAL(401U, testbed_.call("GET", "/plain/", "").status);
     }
 
-    void test_without_a_table_nothing_is_refused_for_good()
+    void test_without_a_table_callers_may_retry()
     {
         const auto answer = testbed_.call("GET", "/none/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
@@ -105,7 +106,7 @@
 
     void test_a_rejected_request_goes_to_another_server()
     {
-        testbed_.first_server().set_handler(answers(503, ""));
+        testbed_.first_server().set_handler(respond_with(503, ""));
         testbed_.start();
         for (int count = 0; count < 6; ++count)
             CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
@@ -113,10 +114,10 @@
             std::size_t{6}, testbed_.second_server().count("/plain/"));
     }
 
-    void test_a_request_that_all_reject_has_not_run()
+    void test_a_request_rejected_by_all_servers_is_reported_not_run()
     {
-        testbed_.first_server().set_handler(answers(503, ""));
-        testbed_.second_server().set_handler(answers(503, ""));
+        testbed_.first_server().set_handler(respond_with(503, ""));
+        testbed_.second_server().set_handler(respond_with(503, ""));
         testbed_.start();
         const auto answer = testbed_.call("POST", "/plain/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
@@ -124,14 +125,15 @@
         CPPUNIT_ASSERT(answer.body.find("not_run") != std::string::npos);
     }
 
-    void test_a_lost_answer_is_not_asked_for_again()
+    void test_a_request_with_a_lost_response_is_not_retried()
     {
-        const auto lose = [](http::exchange& asked) -> asio::awaitable<void> {
-            asked.cut();
+        const auto cut_connection =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+            exchange.cut();
             co_return;
         };
-        testbed_.first_server().set_handler(lose);
-        testbed_.second_server().set_handler(lose);
+        testbed_.first_server().set_handler(cut_connection);
+        testbed_.second_server().set_handler(cut_connection);
         testbed_.start();
         CPPUNIT_ASSERT_EQUAL(502U, testbed_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(
@@ -140,20 +142,22 @@
                 testbed_.second_server().count("/plain/"));
     }
 
-    // Its route allows three servers; it did run at the first one.
-    void test_what_may_run_once_runs_once_whatever_its_attempts()
+    // The route allows three attempts, but the request has run at the first
+    // server.
+    void test_a_non_idempotent_request_runs_once_despite_max_attempts()
     {
-        const auto lose = [](http::exchange& asked) -> asio::awaitable<void> {
-            asked.cut();
+        const auto cut_connection =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+            exchange.cut();
             co_return;
         };
         for (const bool is_lost : {false, true}) {
             testbed_.first_server().set_handler(
-                is_lost ? fake_server::request_handler(lose)
-                        : answers(500, "no"));
+                is_lost ? fake_server::request_handler(cut_connection)
+                        : respond_with(500, "no"));
             testbed_.second_server().set_handler(
-                is_lost ? fake_server::request_handler(lose)
-                        : answers(500, "no"));
+                is_lost ? fake_server::request_handler(cut_connection)
+                        : respond_with(500, "no"));
             if (!is_lost)
                 testbed_.start();
             const std::size_t before = testbed_.first_server().count("/once/") +
@@ -167,10 +171,10 @@
         }
     }
 
-    void test_a_failure_is_repeated_once_where_it_may_be()
+    void test_only_idempotent_requests_are_retried_after_a_failure()
     {
-        testbed_.first_server().set_handler(answers(500, "no"));
-        testbed_.second_server().set_handler(answers(500, "no"));
+        testbed_.first_server().set_handler(respond_with(500, "no"));
+        testbed_.second_server().set_handler(respond_with(500, "no"));
         testbed_.start();
         CPPUNIT_ASSERT_EQUAL(500U, testbed_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(500U, testbed_.call("GET", "/again/").status);
@@ -184,22 +188,23 @@
                 testbed_.second_server().count("/plain/"));
     }
 
-    // The answer that is there is the caller's; a repeat that brought nothing
-    // does not turn it into an unknown.
-    void test_an_answer_outlives_a_repeat_that_fails()
+    // The caller gets the response that has arrived; a retry without a response
+    // does not make the outcome unknown.
+    void test_a_failed_retry_does_not_discard_the_first_response()
     {
         const auto calls = std::make_shared<std::atomic<int>>(0);
         const auto fail =
-            [calls](http::exchange& asked) -> asio::awaitable<void> {
-            const bool is_meant = asked.received().target == "/again/";
-            if (is_meant && (*calls)++ > 0) {
-                asked.cut();
+            [calls](http::exchange& exchange) -> asio::awaitable<void> {
+            const bool is_tested_route =
+                exchange.received().target == "/again/";
+            if (is_tested_route && (*calls)++ > 0) {
+                exchange.cut();
                 co_return;
             }
             http::response failed =
-                fake_server::signed_response(asked, 500, "its own words");
-            [[maybe_unused]] const auto said =
-                co_await asked.respond(std::move(failed));
+                fake_server::signed_response(exchange, 500, "its own words");
+            [[maybe_unused]] const auto sent =
+                co_await exchange.respond(std::move(failed));
         };
         testbed_.first_server().set_handler(fail);
         testbed_.second_server().set_handler(fail);
@@ -210,42 +215,44 @@
         CPPUNIT_ASSERT_EQUAL(std::string("its own words"), answer.body);
     }
 
-    void test_an_unsigned_success_is_no_answer()
+    void test_an_unsigned_success_is_rejected()
     {
-        const auto unsign = [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response whole =
-                fake_server::signed_response(asked, 200, "?");
-            whole.fields.remove("X-Godwitworks-Replica-Signature");
+        const auto omit_signature =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+            http::response response =
+                fake_server::signed_response(exchange, 200, "?");
+            response.fields.remove("X-Godwitworks-Replica-Signature");
             [[maybe_unused]] const auto sent =
-                co_await asked.respond(std::move(whole));
+                co_await exchange.respond(std::move(response));
         };
-        testbed_.first_server().set_handler(unsign);
-        testbed_.second_server().set_handler(unsign);
+        testbed_.first_server().set_handler(omit_signature);
+        testbed_.second_server().set_handler(omit_signature);
         testbed_.start();
         CPPUNIT_ASSERT_EQUAL(502U, testbed_.call("POST", "/plain/").status);
         CPPUNIT_ASSERT_EQUAL(502U, testbed_.call("GET", "/stream/").status);
     }
 
-    void test_an_answer_to_another_request_is_passed_over()
+    void test_a_response_to_another_request_is_discarded()
     {
-        const auto confuse =
-            [](http::exchange& asked) -> asio::awaitable<void> {
+        const auto answer_another_request =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
             http::response other =
-                fake_server::signed_response(asked, 200, "other");
+                fake_server::signed_response(exchange, 200, "other");
             other.fields.set("X-Godwitworks-Attempt-Id", "someone");
             [[maybe_unused]] const auto sent =
-                co_await asked.respond(std::move(other));
+                co_await exchange.respond(std::move(other));
         };
-        testbed_.first_server().set_handler(confuse);
-        testbed_.second_server().set_handler(confuse);
+        testbed_.first_server().set_handler(answer_another_request);
+        testbed_.second_server().set_handler(answer_another_request);
         testbed_.start();
-        // The own answer never comes; the other one is not delivered.
+        // The request gets no response of its own, and the other is not
+        // delivered.
         const auto answer = testbed_.call("POST", "/plain/");
         CPPUNIT_ASSERT(answer.status == 504U || answer.status == 502U);
         CPPUNIT_ASSERT(answer.body.find("other") == std::string::npos);
     }
 
-    void test_a_newer_table_replaces_and_an_older_one_does_not()
+    void test_only_newer_tables_are_applied()
     {
         testbed_.start();
         CPPUNIT_ASSERT_EQUAL(
@@ -263,7 +270,7 @@
             401U, testbed_.call("GET", "/plain/", "k2").status);
     }
 
-    void test_a_table_that_cannot_be_read_changes_nothing()
+    void test_malformed_records_are_ignored()
     {
         testbed_.start();
         testbed_.store().put(
@@ -276,7 +283,7 @@
         CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("GET", "/plain/").status);
     }
 
-    void test_a_store_that_is_away_changes_nothing()
+    void test_requests_are_served_during_a_store_outage()
     {
         testbed_.start();
         for (const unsigned status : {503U, 429U, 500U}) {
@@ -294,14 +301,14 @@
             "version 2", [this] { return testbed_.table_version() == 2; });
     }
 
-    // Each call that the store turns away has its price.
-    void test_a_store_that_turns_away_is_asked_ever_more_seldom()
+    // Each call that the store rejects has a cost.
+    void test_retries_against_a_failing_store_back_off()
     {
         testbed_.start();
         testbed_.store().set_status(503);
         const unsigned before = testbed_.store().calls();
         std::this_thread::sleep_for(std::chrono::milliseconds(2500));
-        // Three topics, each asked after 0.2, 0.4, 0.8 and 1 s.
+        // Three topics, each retried after 0.2, 0.4, 0.8 and 1 s.
         CPPUNIT_ASSERT(testbed_.store().calls() - before <= 18);
         testbed_.publish(3);
         testbed_.store().set_status(0);
@@ -309,7 +316,7 @@
             "version 3", [this] { return testbed_.table_version() == 3; });
     }
 
-    void test_history_that_is_dropped_is_read_anew()
+    void test_a_compacted_topic_is_resynced()
     {
         testbed_.start();
         testbed_.store().set_status(503);
@@ -320,17 +327,19 @@
             "version 8", [this] { return testbed_.table_version() == 8; });
     }
 
-    void test_a_stream_arrives_whole()
+    void test_a_stream_is_delivered_completely()
     {
-        const auto stream = [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response head = fake_server::signed_response(asked, 200, "");
+        const auto stream =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+            http::response head =
+                fake_server::signed_response(exchange, 200, "");
             [[maybe_unused]] auto sent =
-                co_await asked.start_stream(200, head.fields);
+                co_await exchange.start_stream(200, head.fields);
             for (int id = 1; id <= 3; ++id) {
-                sent = co_await asked.write_chunk(event(id));
-                co_await sleep(asked, 5);
+                sent = co_await exchange.write_chunk(event(id));
+                co_await sleep(exchange, 5);
             }
-            sent = co_await asked.finish_stream();
+            sent = co_await exchange.finish_stream();
         };
         testbed_.first_server().set_handler(stream);
         testbed_.second_server().set_handler(stream);
@@ -340,42 +349,45 @@
         CPPUNIT_ASSERT_EQUAL(event(1) + event(2) + event(3), answer.body);
     }
 
-    /// A server that answers questions for room with `status`, and streams
-    /// one event.
-    static fake_server::request_handler keeps_room(unsigned status)
+    /// A server that answers hold requests with `status`, or not at all if it
+    /// is 0, and streams one event.
+    static fake_server::request_handler answers_hold_requests(unsigned status)
     {
-        return [status](http::exchange& asked) -> asio::awaitable<void> {
-            const bool is_question =
-                asked.received().target == "/api/hold-take";
+        return [status](http::exchange& exchange) -> asio::awaitable<void> {
+            const bool is_hold_request =
+                exchange.received().target == "/api/hold-take";
             http::response head = fake_server::signed_response(
-                asked, is_question ? status : 200, R"({"hold":"q7"})");
-            if (is_question && status == 0) {
-                co_await sleep(asked, 2000);
-            } else if (is_question) {
-                [[maybe_unused]] const auto said =
-                    co_await asked.respond(std::move(head));
+                exchange, is_hold_request ? status : 200, R"({"hold":"q7"})");
+            if (is_hold_request && status == 0) {
+                co_await sleep(exchange, 2000);
+            } else if (is_hold_request) {
+                [[maybe_unused]] const auto sent =
+                    co_await exchange.respond(std::move(head));
             } else {
-                [[maybe_unused]] auto said =
-                    co_await asked.start_stream(200, head.fields);
-                said = co_await asked.write_chunk(event(1));
-                said = co_await asked.finish_stream();
+                [[maybe_unused]] auto sent =
+                    co_await exchange.start_stream(200, head.fields);
+                sent = co_await exchange.write_chunk(event(1));
+                sent = co_await exchange.finish_stream();
             }
         };
     }
 
-    void begin_with_holds(unsigned at_first, unsigned at_second)
+    void start_with_holds(unsigned first_status, unsigned second_status)
     {
         testbed_.enable_holds(2000);
-        testbed_.first_server().set_handler(keeps_room(at_first));
-        testbed_.second_server().set_handler(keeps_room(at_second));
+        testbed_.first_server().set_handler(
+            answers_hold_requests(first_status));
+        testbed_.second_server().set_handler(
+            answers_hold_requests(second_status));
         testbed_.start();
     }
 
-    // It has not run there, and its server is nearer than the other one.
-    void test_a_stream_that_is_rejected_goes_to_another_server()
+    // The rejecting server is in the host's zone; the other one is farther
+    // away.
+    void test_a_rejected_stream_goes_to_another_server()
     {
-        testbed_.first_server().set_handler(answers(503, ""));
-        testbed_.second_server().set_handler(keeps_room(200));
+        testbed_.first_server().set_handler(respond_with(503, ""));
+        testbed_.second_server().set_handler(answers_hold_requests(200));
         testbed_.second_server().set_zone("west");
         testbed_.start();
         const auto answer = testbed_.call("POST", "/stream/");
@@ -387,10 +399,10 @@
             std::size_t{1}, testbed_.second_server().count("/stream/"));
     }
 
-    // The first server is full, whatever this host believes of it.
-    void test_a_stream_begins_where_room_is_kept()
+    // The first server is full, whatever load this host assumes.
+    void test_a_stream_goes_to_the_server_that_grants_a_hold()
     {
-        begin_with_holds(503, 200);
+        start_with_holds(503, 200);
         for (int count = 0; count < 4; ++count)
             CPPUNIT_ASSERT_EQUAL(
                 event(1), testbed_.call("POST", "/stream/").body);
@@ -404,21 +416,21 @@
         }
     }
 
-    // It would be chosen again: it is nearer than the other one.
-    void test_a_server_that_keeps_no_room_is_asked_once()
+    // It would be chosen again, since it is nearer than the other server.
+    void test_a_server_that_refuses_a_hold_is_not_asked_again()
     {
         testbed_.second_server().set_zone("west");
-        begin_with_holds(503, 200);
+        start_with_holds(503, 200);
         CPPUNIT_ASSERT_EQUAL(event(1), testbed_.call("POST", "/stream/").body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.first_server().count("/api/hold-take"));
     }
 
-    // Without holds the engine's own queue keeps the order.
-    void test_without_holds_the_priority_is_passed_on()
+    // Without holds the engine's own queue determines the order.
+    void test_without_holds_the_priority_is_forwarded()
     {
-        testbed_.first_server().set_handler(keeps_room(200));
-        testbed_.second_server().set_handler(keeps_room(200));
+        testbed_.first_server().set_handler(answers_hold_requests(200));
+        testbed_.second_server().set_handler(answers_hold_requests(200));
         testbed_.start();
         (void)testbed_.call("POST", "/stream/");
         std::size_t count = 0;
@@ -433,9 +445,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count);
     }
 
-    void test_a_stream_that_finds_no_room_has_not_run()
+    void test_a_stream_without_any_hold_is_reported_not_run()
     {
-        begin_with_holds(503, 503);
+        start_with_holds(503, 503);
         const auto answer = testbed_.call("POST", "/stream/");
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
         CPPUNIT_ASSERT(answer.fields.find("Retry-After"));
@@ -445,10 +457,11 @@
             std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
-    // What was not sent cannot be lost: a hung server costs a moment only.
-    void test_a_server_that_is_silent_gets_no_stream()
+    // A stream that was not sent cannot be lost: an unresponsive server costs
+    // only a short delay.
+    void test_an_unresponsive_server_gets_no_stream()
     {
-        begin_with_holds(0, 200);
+        start_with_holds(0, 200);
         for (int count = 0; count < 4; ++count)
             CPPUNIT_ASSERT_EQUAL(
                 event(1), testbed_.call("POST", "/stream/").body);
@@ -456,22 +469,23 @@
             std::size_t{0}, testbed_.first_server().count("/stream/"));
     }
 
-    void test_a_server_without_holds_gets_the_stream()
+    void test_a_server_without_holds_still_gets_the_stream()
     {
-        begin_with_holds(404, 404);
+        start_with_holds(404, 404);
         CPPUNIT_ASSERT_EQUAL(event(1), testbed_.call("POST", "/stream/").body);
     }
 
-    void test_room_that_nobody_uses_is_given_back()
+    void test_an_unused_hold_is_released()
     {
         testbed_.enable_holds(2000);
-        const auto slow = [](http::exchange& asked) -> asio::awaitable<void> {
-            if (asked.received().target == "/api/hold-take")
-                co_await sleep(asked, 150);
+        const auto slow =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+            if (exchange.received().target == "/api/hold-take")
+                co_await sleep(exchange, 150);
             http::response kept =
-                fake_server::signed_response(asked, 200, R"({"hold":"q7"})");
-            [[maybe_unused]] const auto said =
-                co_await asked.respond(std::move(kept));
+                fake_server::signed_response(exchange, 200, R"({"hold":"q7"})");
+            [[maybe_unused]] const auto sent =
+                co_await exchange.respond(std::move(kept));
         };
         testbed_.first_server().set_handler(slow);
         testbed_.second_server().set_handler(slow);
@@ -488,25 +502,27 @@
             std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
-    void test_a_broken_stream_does_not_look_complete()
+    void test_an_interrupted_stream_does_not_look_complete()
     {
-        const auto stream = [](http::exchange& asked) -> asio::awaitable<void> {
-            http::response head = fake_server::signed_response(asked, 200, "");
+        const auto stream =
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+            http::response head =
+                fake_server::signed_response(exchange, 200, "");
             [[maybe_unused]] auto sent =
-                co_await asked.start_stream(200, head.fields);
-            sent = co_await asked.write_chunk(event(1) + "id: 2\nda");
-            co_await sleep(asked, 20);
-            asked.cut();
+                co_await exchange.start_stream(200, head.fields);
+            sent = co_await exchange.write_chunk(event(1) + "id: 2\nda");
+            co_await sleep(exchange, 20);
+            exchange.cut();
         };
         testbed_.first_server().set_handler(stream);
         testbed_.second_server().set_handler(stream);
         testbed_.start();
-        // `call` fails the test itself when the body is cut.
+        // `call` itself fails the test if the body is incomplete.
         CPPUNIT_ASSERT_THROW(
             testbed_.call("POST", "/stream/"), CppUnit::Exception);
     }
 
-    void test_a_leaving_server_gets_nothing_new()
+    void test_a_draining_server_gets_no_new_requests()
     {
         testbed_.start();
         testbed_.register_server(testbed_.first_server(), "draining");
@@ -541,11 +557,11 @@
         CPPUNIT_ASSERT_EQUAL(404U, testbed_.get_operator_page("/none").status);
     }
 
-    using reading = core::result<entry::entry_settings>;
+    using settings_result = core::result<entry::entry_settings>;
 
-    /// The settings after the file says what `change` makes of them.
+    /// Reloads the settings as changed by `change`; returns those in effect.
     entry::entry_settings
-    reload(const std::function<reading(entry::entry_settings)>& change)
+    reload(const std::function<settings_result(entry::entry_settings)>& change)
     {
         return testbed_.run_on_host<entry::entry_settings>(
             [&change](entry::entry_process& process) {
@@ -559,35 +575,37 @@
             });
     }
 
-    void test_changed_settings_are_taken_over()
+    void test_reloaded_settings_are_applied()
     {
         testbed_.start();
-        const auto before = reload([](const auto& same) { return same; });
-        const auto after = reload([](entry::entry_settings file) -> reading {
-            file.stop_grace = std::chrono::seconds(3);
-            file.retry_share = 0.5;
-            file.host = core::host_name("another");
-            return file;
-        });
+        const auto before = reload([](const auto& current) { return current; });
+        const auto after =
+            reload([](entry::entry_settings changed) -> settings_result {
+                changed.stop_grace = std::chrono::seconds(3);
+                changed.retry_share = 0.5;
+                changed.host = core::host_name("another");
+                return changed;
+            });
         CPPUNIT_ASSERT(after.stop_grace == std::chrono::seconds(3));
         CPPUNIT_ASSERT_EQUAL(0.5, after.retry_share);
-        // A name cannot change while the process runs.
+        // The host's name cannot change while the process runs.
         CPPUNIT_ASSERT(after.host == before.host);
         CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
-    void test_settings_that_cannot_be_read_change_nothing()
+    void test_invalid_settings_are_ignored()
     {
         testbed_.start();
-        const auto before = reload([](const auto& same) { return same; });
-        const auto after = reload([](const entry::entry_settings&) -> reading {
-            return core::fail(
-                core::error_kind::invalid_input, "no JSON", "mend it");
-        });
+        const auto before = reload([](const auto& current) { return current; });
+        const auto after =
+            reload([](const entry::entry_settings&) -> settings_result {
+                return core::fail(
+                    core::error_kind::invalid_input, "no JSON", "mend it");
+            });
         CPPUNIT_ASSERT(before == after);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(world_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(entry_host_test);
 
 } // namespace
--- a/tests/platform_adapter/fake_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -37,8 +37,9 @@
     const std::string& name, const asio::ip::tcp::endpoint& host)
 {
     wire::link_handlers handlers;
-    handlers.on_message = [this, name](const auto& from, wire::message said) {
-        receive(name, from, said);
+    handlers.on_message = [this,
+                           name](const auto& from, wire::message message) {
+        receive(name, from, message);
     };
     const auto introduction = [name] {
         return wire::hello{
@@ -63,19 +64,20 @@
 void fake_neighbours::receive(
     const std::string& name,
     const std::shared_ptr<wire::link>& from,
-    const wire::message& said)
+    const wire::message& message)
 {
-    const bool is_table = std::holds_alternative<wire::table_changes>(said) ||
-                          std::holds_alternative<wire::table_document>(said);
-    const auto* pull = std::get_if<wire::pull>(&said);
-    const auto* crashes = std::get_if<wire::crash_reports>(&said);
-    const auto* limits = std::get_if<wire::server_limits>(&said);
+    const bool is_table =
+        std::holds_alternative<wire::table_changes>(message) ||
+        std::holds_alternative<wire::table_document>(message);
+    const auto* pull = std::get_if<wire::pull>(&message);
+    const auto* crashes = std::get_if<wire::crash_reports>(&message);
+    const auto* limits = std::get_if<wire::server_limits>(&message);
     {
         const std::lock_guard guard(mutex_);
         if (limits != nullptr)
             limits_.push_back(*limits);
         if (is_table)
-            table_messages_.push_back(said);
+            table_messages_.push_back(message);
         if (pull != nullptr)
             pull_receivers_.push_back(name);
         if (crashes != nullptr)
@@ -106,12 +108,12 @@
     broadcast(wire::catalogue_position{version, 0});
 }
 
-void fake_neighbours::broadcast(const wire::message& said)
+void fake_neighbours::broadcast(const wire::message& message)
 {
     testbed::wait_until("links", [this] { return are_linked(); });
-    asio::post(io_, asio::use_future([this, &said] {
+    asio::post(io_, asio::use_future([this, &message] {
                    for (const auto& each : connectors_)
-                       each->send(said);
+                       each->send(message);
                }))
         .get();
 }
--- a/tests/platform_adapter/fake_neighbours.hpp
+++ b/tests/platform_adapter/fake_neighbours.hpp
@@ -19,16 +19,16 @@
 
 namespace godwit::platform_adapter::test {
 
-/// Entry hosts "n0", "n1", ... that are linked to the one under test, on a
-/// thread of their own. Every member may be used on any thread.
+/// Entry hosts "n0", "n1", ... that are linked to the one under test and run on
+/// their own thread. All members are thread-safe.
 class fake_neighbours
 {
 public:
-    /// What a neighbour answers to a question for a table, if anything.
+    /// Returns a neighbour's response to a pull of a table, if any.
     using pull_handler =
         std::function<std::optional<wire::message>(const wire::pull&)>;
 
-    /// Connects `count` of them to `host`.
+    /// Connects `count` neighbours to `host`.
     fake_neighbours(
         std::size_t count, const http::endpoint& host, pull_handler answer);
     ~fake_neighbours();
@@ -36,22 +36,22 @@
     fake_neighbours(const fake_neighbours&) = delete;
     fake_neighbours& operator=(const fake_neighbours&) = delete;
 
-    /// Each of them says this, once all are linked.
-    void broadcast(const wire::message& said);
+    /// Sends the message from each neighbour, once all are linked.
+    void broadcast(const wire::message& message);
 
-    /// Each of them has this version of the route table in force.
+    /// Announces this route table version as that of each neighbour.
     void announce_table_version(std::uint64_t version);
 
-    /// The names of those that were asked for a table, in their order.
+    /// Returns the names of the neighbours that received a pull, in order.
     [[nodiscard]] std::vector<std::string> pull_receivers() const;
 
-    /// The crash reports that they received, in order.
+    /// Returns the received crash reports, in order.
     [[nodiscard]] std::vector<wire::crash_reports> crash_reports() const;
 
-    /// The server limits that they received, in order.
+    /// Returns the received server limits, in order.
     [[nodiscard]] std::vector<wire::server_limits> limits() const;
 
-    /// What they were told of tables, in its order.
+    /// Returns the received messages with tables or changes, in order.
     [[nodiscard]] std::vector<wire::message> table_messages() const;
 
 private:
@@ -61,7 +61,7 @@
     void receive(
         const std::string& name,
         const std::shared_ptr<wire::link>& from,
-        const wire::message& said);
+        const wire::message& message);
 
     boost::asio::io_context io_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
--- a/tests/platform_adapter/fake_server.cpp
+++ b/tests/platform_adapter/fake_server.cpp
@@ -10,24 +10,24 @@
 fake_server::fake_server(asio::io_context& context, std::string id)
     : id_(std::move(id))
 {
-    handler_ = [](http::exchange& asked) -> asio::awaitable<void> {
-        http::response whole = signed_response(asked, 200, "hello");
+    handler_ = [](http::exchange& exchange) -> asio::awaitable<void> {
+        http::response response = signed_response(exchange, 200, "hello");
         [[maybe_unused]] const auto sent =
-            co_await asked.respond(std::move(whole));
+            co_await exchange.respond(std::move(response));
     };
     server_ = http::server::create(
                   context,
                   {http::endpoint::parse("127.0.0.1:0").value(), {}, {}},
-                  [this](http::exchange& asked) -> asio::awaitable<void> {
+                  [this](http::exchange& exchange) -> asio::awaitable<void> {
                       {
                           const std::lock_guard lock(mutex_);
-                          received_.push_back(asked.received());
+                          received_.push_back(exchange.received());
                       }
                       if (is_crashed_) {
-                          asked.cut();
+                          exchange.cut();
                           co_return;
                       }
-                      co_await handler_(asked);
+                      co_await handler_(exchange);
                   })
                   .value();
 }
@@ -63,23 +63,23 @@
         }));
 }
 
-http::header_fields fake_server::signed_fields(const http::exchange& asked)
+http::header_fields fake_server::signed_fields(const http::exchange& exchange)
 {
     http::header_fields fields;
     fields.set("X-Godwitworks-Replica-Signature", "signed");
-    const auto id = asked.received().fields.find("X-Godwitworks-Attempt-Id");
+    const auto id = exchange.received().fields.find("X-Godwitworks-Attempt-Id");
     fields.set("X-Godwitworks-Attempt-Id", std::string(id.value_or("")));
     return fields;
 }
 
 http::response fake_server::signed_response(
-    const http::exchange& asked, unsigned status, std::string body)
+    const http::exchange& exchange, unsigned status, std::string body)
 {
-    http::response made;
-    made.status = status;
-    made.fields = signed_fields(asked);
-    made.body = std::move(body);
-    return made;
+    http::response response;
+    response.status = status;
+    response.fields = signed_fields(exchange);
+    response.body = std::move(body);
+    return response;
 }
 
 } // namespace godwit::platform_adapter::test
--- a/tests/platform_adapter/fake_server.hpp
+++ b/tests/platform_adapter/fake_server.hpp
@@ -15,7 +15,7 @@
 
 namespace godwit::platform_adapter::test {
 
-/// A backend server whose answers a test chooses.
+/// A backend server whose responses are set by a test.
 class fake_server
 {
 public:
@@ -24,13 +24,13 @@
 
     fake_server(boost::asio::io_context& context, std::string id);
 
-    /// What it does from now on; set before requests come.
+    /// Sets the handler of later requests; call it before requests arrive.
     void set_handler(request_handler chosen) { handler_ = std::move(chosen); }
 
-    /// Where it stands from now on; "east" if this is not called.
+    /// Sets the zone; the default is "east".
     void set_zone(std::string zone) { zone_ = std::move(zone); }
 
-    /// The life that its entries and later reports speak of; none is named if
+    /// Ends a crash and sets the start time of later records; they have none if
     /// this is not called.
     void restart(std::uint64_t started_at_ms)
     {
@@ -41,7 +41,7 @@
     /// Cuts the connection of every request until `restart`.
     void crash() { is_crashed_ = true; }
 
-    /// The entry under which it lists itself.
+    /// Returns the record with which it registers itself.
     [[nodiscard]] std::string
     record(const std::string& state, unsigned sequence) const;
 
@@ -49,19 +49,19 @@
 
     [[nodiscard]] std::string address() const;
 
-    /// Every request so far.
+    /// Returns every request so far.
     [[nodiscard]] std::vector<http::request> received();
 
-    /// How many requests were for `path`.
+    /// Returns the number of requests for `path`.
     [[nodiscard]] std::size_t count(const std::string& path);
 
-    /// The header fields of a signed answer to `asked`.
+    /// Returns the header fields of a signed response to `exchange`.
     [[nodiscard]] static http::header_fields
-    signed_fields(const http::exchange& asked);
+    signed_fields(const http::exchange& exchange);
 
-    /// A signed answer to `asked`.
+    /// Returns a signed response to `exchange`.
     static http::response signed_response(
-        const http::exchange& asked, unsigned status, std::string body);
+        const http::exchange& exchange, unsigned status, std::string body);
 
 private:
     std::string id_;
--- a/tests/platform_adapter/fake_store.cpp
+++ b/tests/platform_adapter/fake_store.cpp
@@ -43,7 +43,7 @@
     return bytes;
 }
 
-// What a store makes of bytes that are no text when it writes JSON.
+// Returns what a store writes into JSON for bytes that are not valid text.
 std::string lossy_text(const std::string& bytes)
 {
     constexpr const char* replacement = "\xef\xbf\xbd";
@@ -57,7 +57,7 @@
     return text;
 }
 
-std::string eight_bytes(std::uint64_t number)
+std::string big_endian_bytes(std::uint64_t number)
 {
     std::string bytes;
     for (int shift = 56; shift >= 0; shift -= 8)
@@ -80,8 +80,8 @@
     server_ = http::server::create(
                   context,
                   {http::endpoint::parse("127.0.0.1:0").value(), {}, {}},
-                  [this](http::exchange& asked) -> asio::awaitable<void> {
-                      co_await serve(asked);
+                  [this](http::exchange& exchange) -> asio::awaitable<void> {
+                      co_await serve(exchange);
                   })
                   .value();
 }
@@ -160,7 +160,7 @@
 }
 
 asio::awaitable<void>
-fake_store::respond(http::exchange& asked, http::response answer)
+fake_store::respond(http::exchange& exchange, http::response answer)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -168,17 +168,17 @@
             answer.fields.set("Store-Era", *epoch_);
     }
     [[maybe_unused]] const auto sent =
-        co_await asked.respond(std::move(answer));
+        co_await exchange.respond(std::move(answer));
 }
 
-asio::awaitable<void> fake_store::serve(http::exchange& asked)
+asio::awaitable<void> fake_store::serve(http::exchange& exchange)
 {
     ++calls_;
-    const std::string target = asked.received().target;
+    const std::string target = exchange.received().target;
     http::response answer;
     answer.status = status_;
     if (status_ == 0 && target.starts_with("/api/log-read")) {
-        co_await read(asked);
+        co_await read(exchange);
         co_return;
     }
     if (status_ == 0) {
@@ -188,18 +188,18 @@
             answer.body =
                 newest(topic, percent_decoded(parameter(target, "after")));
         } else if (target.starts_with("/api/log-append")) {
-            append(topic, asked.received().body);
+            append(topic, exchange.received().body);
             answer.body = "{}";
         } else {
             answer.status = 404;
         }
     }
-    co_await respond(asked, std::move(answer));
+    co_await respond(exchange, std::move(answer));
 }
 
-asio::awaitable<void> fake_store::read(http::exchange& asked)
+asio::awaitable<void> fake_store::read(http::exchange& exchange)
 {
-    const std::string target = asked.received().target;
+    const std::string target = exchange.received().target;
     const std::string topic = parameter(target, "topic");
     const std::size_t from = std::stoul(parameter(target, "from"));
     const auto end =
@@ -216,22 +216,22 @@
                 break;
             }
             if (log.records.size() > from || core::monotonic_now() >= end) {
-                answer.body =
-                    eight_bytes(log.records.size()) + eight_bytes(log.first);
+                answer.body = big_endian_bytes(log.records.size()) +
+                              big_endian_bytes(log.first);
                 for (std::size_t at = from; at < log.records.size(); ++at)
-                    answer.body += bytes_of(log.records[at]);
+                    answer.body += serialize(log.records[at]);
                 break;
             }
         }
         asio::steady_timer pause(
-            asked.executor(), std::chrono::milliseconds(2));
+            exchange.executor(), std::chrono::milliseconds(2));
         co_await pause.async_wait(asio::use_awaitable);
     }
-    co_await respond(asked, std::move(answer));
+    co_await respond(exchange, std::move(answer));
 }
 
-// A length that the record does not have stands for the key's.
-std::string fake_store::bytes_of(const record& one)
+// The key length of a malformed record exceeds the record.
+std::string fake_store::serialize(const record& one)
 {
     using namespace std::string_literals;
     if (one.is_unreadable)
@@ -273,7 +273,7 @@
 {
     ++appends_;
     const auto page =
-        read_records(eight_bytes(1000000) + eight_bytes(0) + body, 0);
+        read_records(big_endian_bytes(1000000) + big_endian_bytes(0) + body, 0);
     if (!page)
         return;
     for (const keyed_record& one : page->records)
--- a/tests/platform_adapter/fake_store.hpp
+++ b/tests/platform_adapter/fake_store.hpp
@@ -17,8 +17,8 @@
 
 namespace godwit::platform_adapter::test {
 
-/// The platform's store as the adapter sees it: keyed topics in memory, one
-/// partition each. `put` and the switches may be used on any thread.
+/// The platform's store as seen by the adapter: keyed topics in memory, one
+/// partition each. `put` and the setters may be used on any thread.
 class fake_store
 {
 public:
@@ -26,25 +26,25 @@
 
     [[nodiscard]] const http::endpoint& address() const;
 
-    /// Appends a record; nothing drops the key.
+    /// Appends a record; without a value it deletes the key.
     void
     put(const std::string& topic,
         const std::string& key,
         std::optional<std::string> value);
 
-    /// Appends a record of which not even the key can be read.
+    /// Appends a malformed record, whose key cannot be read either.
     void put_unreadable(const std::string& topic);
 
-    /// Pages of the newest records hold so many at the most.
+    /// Limits the number of records in a page of newest records.
     void set_page_size(std::size_t items) { page_size_ = items; }
 
-    /// Every call is answered with this status; 0 serves again.
+    /// Answers every call with this status; 0 restores normal operation.
     void set_status(unsigned status) { status_ = status; }
 
-    /// Forgets the records that were read; the newest of each key stay.
+    /// Drops all records from the log, but keeps the newest of each key.
     void compact();
 
-    /// A record that the store gets again after it was restored.
+    /// A record that is written again after a restore.
     struct rewritten_record
     {
         std::string topic;
@@ -52,17 +52,17 @@
         std::optional<std::string> value;
     };
 
-    /// Names an era in every answer from now on.
+    /// Sets the epoch named in later responses; empty names none.
     void set_epoch(std::optional<std::string> epoch);
 
-    /// Keeps a copy of all records, for `restore`.
+    /// Saves a copy of all records for `restore`.
     void back_up();
 
-    /// Restarts from the copy in the next era: what came since is lost, its
-    /// offsets are given out again, first to `records`. Reads stay open.
+    /// Restarts from the backup in the next epoch: later records are lost and
+    /// their offsets are reused, first for `records`. Open reads stay open.
     void restore(const std::vector<rewritten_record>& records = {});
 
-    /// Reads that are open now are never answered.
+    /// Leaves the reads that are open now unanswered forever.
     void drop_open_reads() { ++dropped_reads_; }
 
     /// Returns the key and value of the newest record that has a value and
@@ -70,13 +70,13 @@
     [[nodiscard]] std::optional<std::pair<std::string, std::string>>
     find(const std::string& topic, const std::string& key_prefix);
 
-    /// Whether the newest record of the key has a value.
+    /// Returns whether the newest record of the key has a value.
     [[nodiscard]] bool has(const std::string& topic, const std::string& key);
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     [[nodiscard]] unsigned calls() const { return calls_; }
 
-    /// Those of them that appended.
+    /// Returns the number of appends so far.
     [[nodiscard]] unsigned appends() const { return appends_; }
 
 private:
@@ -93,13 +93,13 @@
         std::size_t first = 0;
     };
 
-    boost::asio::awaitable<void> serve(http::exchange& asked);
+    boost::asio::awaitable<void> serve(http::exchange& exchange);
     boost::asio::awaitable<void>
-    respond(http::exchange& asked, http::response answer);
-    boost::asio::awaitable<void> read(http::exchange& asked);
+    respond(http::exchange& exchange, http::response answer);
+    boost::asio::awaitable<void> read(http::exchange& exchange);
     [[nodiscard]] std::string
     newest(const std::string& topic, const std::string& after);
-    [[nodiscard]] static std::string bytes_of(const record& one);
+    [[nodiscard]] static std::string serialize(const record& one);
     void append(const std::string& topic, const std::string& body);
 
     std::mutex mutex_;
--- a/tests/platform_adapter/hostile_values_test.cpp
+++ b/tests/platform_adapter/hostile_values_test.cpp
@@ -1,10 +1,11 @@
-// Whoever sends a number or a list of names chooses how much work and memory
-// it asks for. A time that does not fit the clock went round and was over
-// before it began. A field that lists names was read again for each other
-// field: one head of 64 KiB held up everything that the host serves for two
-// seconds. A version that is no whole number became the highest of all, and
-// no later table was ever taken. A body limit beyond all memory let one
-// caller's length end the process.
+// Guards against values from outside that demand excessive work or memory:
+// - A deadline beyond the clock's range overflowed and expired at once.
+// - A "Connection" field was parsed again for every other field, so that one
+//   head of 64 KiB stopped the host from serving anything for two seconds.
+// - A version that is not an integer became the highest of all, and no later
+//   route table was accepted.
+// - A body limit beyond the available memory let the "Content-Length" of one
+//   caller end the process.
 
 #include "testbed.hpp"
 
@@ -29,7 +30,7 @@
 using namespace godwit::platform_adapter;
 namespace asio = boost::asio;
 
-double processor_seconds()
+double thread_cpu_seconds()
 {
     timespec now{};
     ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
@@ -40,40 +41,40 @@
 class hostile_values_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(hostile_values_test);
-    CPPUNIT_TEST(test_a_deadline_beyond_the_clock_is_far_away);
-    CPPUNIT_TEST(test_names_that_a_head_lists_are_read_once);
-    CPPUNIT_TEST(test_a_table_version_is_a_whole_number);
-    CPPUNIT_TEST(test_a_body_limit_beyond_memory_is_not_taken_over);
+    CPPUNIT_TEST(test_a_deadline_beyond_the_clocks_range_is_limited);
+    CPPUNIT_TEST(test_connection_options_are_parsed_once);
+    CPPUNIT_TEST(test_a_table_version_must_be_a_non_negative_integer);
+    CPPUNIT_TEST(test_a_body_limit_beyond_memory_is_not_applied);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_a_deadline_beyond_the_clock_is_far_away()
+    void test_a_deadline_beyond_the_clocks_range_is_limited()
     {
         http::header_fields fields;
         fields.set("X-Godwitworks-Deadline-Ms", "9223372036854775807");
-        const auto left =
+        const auto remaining =
             request_codec::read_request_metadata(fields).time_left;
-        CPPUNIT_ASSERT(left);
-        CPPUNIT_ASSERT(*left >= std::chrono::hours(24));
-        // Added to the present moment, too.
-        CPPUNIT_ASSERT(*left <= std::chrono::hours(24 * 366));
+        CPPUNIT_ASSERT(remaining);
+        CPPUNIT_ASSERT(*remaining >= std::chrono::hours(24));
+        // It must also be in range when added to the current time.
+        CPPUNIT_ASSERT(*remaining <= std::chrono::hours(24 * 366));
     }
 
-    void test_names_that_a_head_lists_are_read_once()
+    void test_connection_options_are_parsed_once()
     {
-        constexpr std::size_t half = std::size_t{32} * 1024;
+        constexpr std::size_t half_head_bytes = std::size_t{32} * 1024;
         http::header_fields fields;
-        fields.add("Connection", std::string(half, ',') + "b");
-        for (std::size_t size = 0; size < half; size += 6)
+        fields.add("Connection", std::string(half_head_bytes, ',') + "b");
+        for (std::size_t size = 0; size < half_head_bytes; size += 6)
             fields.add("a", "x");
         fields.add("B", "x");
-        const double before = processor_seconds();
+        const double before = thread_cpu_seconds();
         const auto returned = request_codec::returned_fields(fields);
         CPPUNIT_ASSERT(!returned.find("b"));
         CPPUNIT_ASSERT(returned.find("a"));
-        CPPUNIT_ASSERT(processor_seconds() - before < 0.4);
+        CPPUNIT_ASSERT(thread_cpu_seconds() - before < 0.4);
     }
 
-    void test_a_table_version_is_a_whole_number()
+    void test_a_table_version_must_be_a_non_negative_integer()
     {
         for (const char* version : {"-1", "1e300", "18446744073709551616"}) {
             const auto read =
@@ -83,8 +84,8 @@
         CPPUNIT_ASSERT(read_table(R"({"version":7})"));
     }
 
-    // Memory for a body is set aside when its first byte comes.
-    void test_a_body_limit_beyond_memory_is_not_taken_over()
+    // Memory for a body is reserved when its first byte arrives.
+    void test_a_body_limit_beyond_memory_is_not_applied()
     {
         test::testbed testbed;
         testbed.start();
--- a/tests/platform_adapter/joining_host_test.cpp
+++ b/tests/platform_adapter/joining_host_test.cpp
@@ -1,5 +1,6 @@
-// When a whole fleet starts, no host has heard another one yet. Each that then
-// took itself for the quick reader asked every engine for its report.
+// Guards against every host of a starting fleet acting as the primary list
+// reader, because it has not heard from another host yet: each of them polled
+// every engine for its report.
 
 #include "testbed.hpp"
 
@@ -17,39 +18,39 @@
 using namespace godwit;
 using namespace godwit::platform_adapter;
 
-class new_host_test : public CppUnit::TestFixture
+class joining_host_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(new_host_test);
-    CPPUNIT_TEST(test_a_host_beside_others_is_no_quick_reader_at_its_start);
-    CPPUNIT_TEST(test_a_host_alone_is_the_quick_reader_at_once);
+    CPPUNIT_TEST_SUITE(joining_host_test);
+    CPPUNIT_TEST(test_a_joining_host_is_not_the_primary_reader);
+    CPPUNIT_TEST(test_a_single_host_is_the_primary_reader);
     CPPUNIT_TEST_SUITE_END();
 
     boost::asio::io_context io_{1};
 
     std::unique_ptr<entry::entry_process>
-    started(const std::vector<http::endpoint>& seeds)
+    start_process(const std::vector<http::endpoint>& seeds)
     {
         auto made = test::start_process(io_, seeds);
         made->start();
         return made;
     }
 
-    void test_a_host_beside_others_is_no_quick_reader_at_its_start()
+    void test_a_joining_host_is_not_the_primary_reader()
     {
         const auto other = http::endpoint::parse("127.0.0.1:1").value();
-        const auto process = started({other});
+        const auto process = start_process({other});
         CPPUNIT_ASSERT(process->is_joining_fleet());
         CPPUNIT_ASSERT(!process->is_primary_list_reader());
     }
 
-    void test_a_host_alone_is_the_quick_reader_at_once()
+    void test_a_single_host_is_the_primary_reader()
     {
-        const auto process = started({});
+        const auto process = start_process({});
         CPPUNIT_ASSERT(!process->is_joining_fleet());
         CPPUNIT_ASSERT(process->is_primary_list_reader());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(new_host_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(joining_host_test);
 
 } // namespace
--- a/tests/platform_adapter/migration_test.cpp
+++ b/tests/platform_adapter/migration_test.cpp
@@ -16,40 +16,42 @@
 using namespace godwit::platform_adapter::test;
 namespace asio = boost::asio;
 
-/// A server that streams events until a last copy stops it, and goes on
-/// after the event that a continuation names.
-struct moving_server
+/// A server that streams events until the final copy of a KV cache stops it. A
+/// resumed stream continues after the event that the request names.
+struct migrating_server
 {
     std::atomic<bool> stopped = false;
     std::atomic<int> sent = 0;
     unsigned last_copy_status = 200;
-    int refused_copies = 0; ///< For want of room at the destination.
+    int refused_copies =
+        0; ///< The first so many fail, without capacity at the destination.
     int slow_copy_ms = 150;
     int slow_copies = 0; ///< The first so many take slow_copy_ms.
     int events = 1000;
     std::atomic<int> copies_before_last = 0;
-    std::function<void(int)> on_running_copy; ///< With its number.
+    std::function<void(int)>
+        on_running_copy; ///< Called with the copy's number.
     std::atomic<int> copies = 0;
-    bool dies_after_copy = false;
+    bool crashes_after_copy = false;
 
-    asio::awaitable<void> operator()(http::exchange& asked)
+    asio::awaitable<void> operator()(http::exchange& exchange)
     {
-        const http::request& request = asked.received();
+        const http::request& request = exchange.received();
         if (request.target == "/api/kv-move") {
-            co_await copy(asked);
+            co_await copy(exchange);
             co_return;
         }
         if (request.target.starts_with("/api/"))
             co_return;
-        co_await stream(asked);
+        co_await stream(exchange);
     }
 
-    asio::awaitable<void> copy(http::exchange& asked)
+    asio::awaitable<void> copy(http::exchange& exchange)
     {
         const bool is_last =
-            asked.received().body.find("last") != std::string::npos;
-        if (dies_after_copy && stopped) {
-            asked.cut();
+            exchange.received().body.find("last") != std::string::npos;
+        if (crashes_after_copy && stopped) {
+            exchange.cut();
             co_return;
         }
         if (!is_last) {
@@ -57,61 +59,63 @@
             if (on_running_copy)
                 on_running_copy(number);
             if (number <= slow_copies)
-                co_await sleep(asked, slow_copy_ms);
+                co_await sleep(exchange, slow_copy_ms);
         }
         const bool is_refused = copies++ < refused_copies;
         if (is_refused) {
             http::response refused =
-                fake_server::signed_response(asked, 503, "{}");
-            [[maybe_unused]] const auto told =
-                co_await asked.respond(std::move(refused));
+                fake_server::signed_response(exchange, 503, "{}");
+            [[maybe_unused]] const auto written =
+                co_await exchange.respond(std::move(refused));
             co_return;
         }
-        stopped = stopped || is_last || dies_after_copy;
+        stopped = stopped || is_last || crashes_after_copy;
         http::response done = fake_server::signed_response(
-            asked, is_last ? last_copy_status : 200, R"({"handle":"c7"})");
-        [[maybe_unused]] const auto said =
-            co_await asked.respond(std::move(done));
+            exchange, is_last ? last_copy_status : 200, R"({"handle":"c7"})");
+        [[maybe_unused]] const auto written =
+            co_await exchange.respond(std::move(done));
     }
 
-    asio::awaitable<void> stream(http::exchange& asked)
+    asio::awaitable<void> stream(http::exchange& exchange)
     {
-        const auto& fields = asked.received().fields;
+        const auto& fields = exchange.received().fields;
         const bool resumes = fields.find("Kv-From").has_value();
         const auto last = fields.find("Last-Event-Id");
         int id = last ? std::stoi(std::string(*last)) : 0;
-        http::response head = fake_server::signed_response(asked, 200, "");
-        [[maybe_unused]] auto said =
-            co_await asked.start_stream(200, head.fields);
+        http::response head = fake_server::signed_response(exchange, 200, "");
+        [[maybe_unused]] auto written =
+            co_await exchange.start_stream(200, head.fields);
         const int end = resumes ? id + 5 : events;
         while (id < end) {
             if (stopped && !resumes)
-                co_return; // Without its end.
+                co_return; // Without finishing the stream.
             ++id;
-            said = co_await asked.write_chunk(event(id));
+            written = co_await exchange.write_chunk(event(id));
             sent = id;
-            co_await sleep(asked, 3);
+            co_await sleep(exchange, 3);
         }
-        said = co_await asked.finish_stream();
+        written = co_await exchange.finish_stream();
     }
 };
 
-// A stream goes on at another server, whose answers are those of a stand-in.
-class moves_world_test : public CppUnit::TestFixture
+// Guards against losing or duplicating events of a stream that migrates between
+// fake servers.
+class migration_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(moves_world_test);
-    CPPUNIT_TEST(test_a_stream_goes_on_where_its_server_leaves);
+    CPPUNIT_TEST_SUITE(migration_test);
+    CPPUNIT_TEST(test_a_stream_migrates_when_its_server_drains);
     CPPUNIT_TEST(test_a_run_stops_only_for_a_short_copy);
-    CPPUNIT_TEST(test_memory_is_on_its_way_during_the_first_copy);
-    CPPUNIT_TEST(test_a_stopped_run_goes_on_at_home_when_nobody_has_room);
-    CPPUNIT_TEST(test_a_run_whose_source_dies_goes_on_from_its_copy);
-    CPPUNIT_TEST(test_a_run_that_may_live_on_is_not_begun_elsewhere);
-    CPPUNIT_TEST(test_a_stream_comes_home_when_there_is_room);
-    CPPUNIT_TEST(test_a_stream_on_its_way_home_outlives_its_server);
-    CPPUNIT_TEST(test_a_way_home_goes_on_when_the_server_leaves_meanwhile);
-    CPPUNIT_TEST(test_a_stream_stays_away_when_home_refuses_it);
-    CPPUNIT_TEST(test_a_leaving_server_is_seen_while_the_store_is_away);
-    CPPUNIT_TEST(test_a_leaving_server_is_seen_while_its_list_is_held_up);
+    CPPUNIT_TEST(test_arriving_tokens_are_counted_during_the_first_copy);
+    CPPUNIT_TEST(
+        test_a_stopped_run_resumes_at_its_source_without_capacity_elsewhere);
+    CPPUNIT_TEST(test_a_run_resumes_from_its_copy_after_its_source_crashes);
+    CPPUNIT_TEST(test_a_run_that_may_still_be_active_is_not_resumed_elsewhere);
+    CPPUNIT_TEST(test_a_stream_returns_to_its_home_zone_when_there_is_capacity);
+    CPPUNIT_TEST(test_a_returning_stream_survives_the_draining_of_its_server);
+    CPPUNIT_TEST(test_a_return_continues_as_migration_when_the_server_drains);
+    CPPUNIT_TEST(test_a_stream_stays_when_its_home_zone_refuses_it);
+    CPPUNIT_TEST(test_a_draining_server_is_detected_during_a_store_outage);
+    CPPUNIT_TEST(test_a_draining_server_is_detected_before_its_record);
     CPPUNIT_TEST_SUITE_END();
 
     testbed testbed_;
@@ -124,15 +128,16 @@
         return all;
     }
 
-    void move_while_streaming(moving_server& at_first, moving_server& at_second)
+    void migrate_while_streaming(
+        migrating_server& source, migrating_server& destination)
     {
         testbed_.first_server().set_handler(
-            [&at_first](http::exchange& asked) -> asio::awaitable<void> {
-                co_await at_first(asked);
+            [&source](http::exchange& exchange) -> asio::awaitable<void> {
+                co_await source(exchange);
             });
         testbed_.second_server().set_handler(
-            [&at_second](http::exchange& asked) -> asio::awaitable<void> {
-                co_await at_second(asked);
+            [&destination](http::exchange& exchange) -> asio::awaitable<void> {
+                co_await destination(exchange);
             });
         testbed_.publish(1);
         testbed_.register_server(testbed_.first_server(), "ready");
@@ -140,230 +145,231 @@
             "readiness", [this] { return testbed_.is_ready(); });
         std::optional<http::response> answer;
         std::thread caller([this, &answer] { answer = testbed_.try_stream(); });
-        testbed::wait_until(
-            "events", [&at_first] { return at_first.sent > 3; });
+        testbed::wait_until("events", [&source] { return source.sent > 3; });
         testbed_.register_server(testbed_.second_server(), "ready");
-        if (leaves_later_)
-            testbed::wait_until("a copy", [&at_first] {
-                return at_first.copies_before_last > 0;
-            });
-        if (has_other_home_) {
+        if (source_drains_later_)
+            testbed::wait_until(
+                "a copy", [&source] { return source.copies_before_last > 0; });
+        if (destination_leaves_zone_) {
             testbed_.second_server().set_zone("south");
             testbed_.register_server(testbed_.second_server(), "ready");
         }
-        if (leaves_source_ || leaves_later_)
+        if (source_drains_ || source_drains_later_)
             testbed_.register_server(testbed_.first_server(), "draining");
         caller.join();
-        is_cut_ = !answer;
-        CPPUNIT_ASSERT_EQUAL(expects_cut_, is_cut_);
+        is_interrupted_ = !answer;
+        CPPUNIT_ASSERT_EQUAL(expects_interruption_, is_interrupted_);
         answer_ = answer.value_or(http::response());
     }
 
     http::response answer_;
-    bool leaves_source_ = true;
-    bool leaves_later_ = false;
-    bool has_other_home_ = false; ///< The destination is not at home any more.
-    bool expects_cut_ = false;
-    bool is_cut_ = false;
+    bool source_drains_ = true;
+    bool source_drains_later_ = false;
+    bool destination_leaves_zone_ =
+        false; ///< The destination moves to another zone.
+    bool expects_interruption_ = false;
+    bool is_interrupted_ = false;
 
-    void test_a_stream_goes_on_where_its_server_leaves()
+    void test_a_stream_migrates_when_its_server_drains()
     {
-        moving_server at_first;
-        moving_server at_second;
-        move_while_streaming(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        migrate_while_streaming(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
         CPPUNIT_ASSERT_EQUAL(
             testbed_.first_server().address() + "/c7", resumed_from());
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
 
-    // The first copies take long; a run that stopped for such a one would
-    // pause as long.
+    // The first copies are slow; a run that stopped for one of them would pause
+    // for as long.
     void test_a_run_stops_only_for_a_short_copy()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.slow_copies = 2;
-        move_while_streaming(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        source.slow_copies = 2;
+        migrate_while_streaming(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
-        CPPUNIT_ASSERT_EQUAL(3, at_first.copies_before_last.load());
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(3, source.copies_before_last.load());
     }
 
-    // Other hosts choose by it: a link is free again when most is there.
-    void test_memory_is_on_its_way_during_the_first_copy()
+    // Other hosts choose servers by this count: a link is free again once most
+    // of the KV cache has arrived.
+    void test_arriving_tokens_are_counted_during_the_first_copy()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.slow_copies = 2;
+        migrating_server source;
+        migrating_server destination;
+        source.slow_copies = 2;
         std::map<int, std::uint64_t> arriving;
-        at_first.on_running_copy = [this, &arriving](int number) {
+        source.on_running_copy = [this, &arriving](int number) {
             arriving[number] =
                 testbed_.arriving_tokens_at(testbed_.second_server());
         };
-        move_while_streaming(at_first, at_second);
+        migrate_while_streaming(source, destination);
         CPPUNIT_ASSERT(arriving[1] > 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, arriving[2]);
     }
 
-    void test_a_stopped_run_goes_on_at_home_when_nobody_has_room()
+    void test_a_stopped_run_resumes_at_its_source_without_capacity_elsewhere()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.last_copy_status = 503;
-        move_while_streaming(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        source.last_copy_status = 503;
+        migrate_while_streaming(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_first.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(source.sent), answer_.body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{2}, testbed_.first_server().count("/stream/"));
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
-    /// Whose copy the second server's only run went on from.
+    /// Returns the copy from which the second server's only run resumed.
     std::string resumed_from()
     {
-        std::string source;
+        std::string copy_source;
         for (const http::request& one : testbed_.second_server().received()) {
             if (one.target != "/stream/")
                 continue;
-            CPPUNIT_ASSERT(source.empty());
-            source = one.fields.find("Kv-From").value_or("nothing");
+            CPPUNIT_ASSERT(copy_source.empty());
+            copy_source = one.fields.find("Kv-From").value_or("nothing");
         }
-        return source;
+        return copy_source;
     }
 
-    // The source copies once and dies before the last copy.
-    void test_a_run_whose_source_dies_goes_on_from_its_copy()
+    // The source crashes after the first copy, before the last one.
+    void test_a_run_resumes_from_its_copy_after_its_source_crashes()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.dies_after_copy = true;
-        move_while_streaming(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        source.crashes_after_copy = true;
+        migrate_while_streaming(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
         CPPUNIT_ASSERT_EQUAL(
             testbed_.first_server().address() + "/c7", resumed_from());
     }
 
-    // The stream broke, and the source answers, but not whether the run is
-    // gone: it may still be at work.
-    void test_a_run_that_may_live_on_is_not_begun_elsewhere()
+    // The stream was interrupted, and the source responds, but does not tell
+    // whether the run has ended: it may still be running.
+    void test_a_run_that_may_still_be_active_is_not_resumed_elsewhere()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.last_copy_status = 500;
-        expects_cut_ = true;
-        move_while_streaming(at_first, at_second);
-        CPPUNIT_ASSERT(is_cut_);
+        migrating_server source;
+        migrating_server destination;
+        source.last_copy_status = 500;
+        expects_interruption_ = true;
+        migrate_while_streaming(source, destination);
+        CPPUNIT_ASSERT(is_interrupted_);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
-    /// A long stream that begins in another zone, since no server of its
-    /// host's zone is there; then `at_second` appears in it.
-    void come_home(moving_server& at_first, moving_server& at_second)
+    /// Runs a long stream that starts in another zone because its host's zone
+    /// has no server; then `destination` registers in the host's zone.
+    void
+    return_to_home_zone(migrating_server& source, migrating_server& destination)
     {
         testbed_.set_token_usage("100,4000");
         testbed_.first_server().set_zone("west");
-        leaves_source_ = false;
-        move_while_streaming(at_first, at_second);
+        source_drains_ = false;
+        migrate_while_streaming(source, destination);
     }
 
-    void test_a_stream_comes_home_when_there_is_room()
+    void test_a_stream_returns_to_its_home_zone_when_there_is_capacity()
     {
-        moving_server at_first;
-        moving_server at_second;
-        come_home(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        return_to_home_zone(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
         CPPUNIT_ASSERT_EQUAL(
             testbed_.first_server().address() + "/c7", resumed_from());
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
 
-    // The copies are refused until the source is seen to leave.
-    void test_a_stream_on_its_way_home_outlives_its_server()
+    // The copies are refused until the source is known to drain.
+    void test_a_returning_stream_survives_the_draining_of_its_server()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.refused_copies = 2;
-        leaves_later_ = true;
-        come_home(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        source.refused_copies = 2;
+        source_drains_later_ = true;
+        return_to_home_zone(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
 
-    // The server leaves while the first copy is on its way, and that copy
-    // finds no room: there was no need to move, and now there is.
-    void test_a_way_home_goes_on_when_the_server_leaves_meanwhile()
+    // The source starts to drain during the first copy, which is then refused
+    // for want of capacity. The return was optional; the migration is not.
+    void test_a_return_continues_as_migration_when_the_server_drains()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.slow_copies = 1;
-        at_first.slow_copy_ms = 600;
-        at_first.refused_copies = 1;
-        leaves_later_ = true;
-        has_other_home_ = true;
-        come_home(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        source.slow_copies = 1;
+        source.slow_copy_ms = 600;
+        source.refused_copies = 1;
+        source_drains_later_ = true;
+        destination_leaves_zone_ = true;
+        return_to_home_zone(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.second_server().count("/stream/"));
     }
 
-    void test_a_stream_stays_away_when_home_refuses_it()
+    void test_a_stream_stays_when_its_home_zone_refuses_it()
     {
-        moving_server at_first;
-        moving_server at_second;
-        at_first.refused_copies = 1000;
-        at_first.events = 400;
-        come_home(at_first, at_second);
+        migrating_server source;
+        migrating_server destination;
+        source.refused_copies = 1000;
+        source.events = 400;
+        return_to_home_zone(source, destination);
         CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
         CPPUNIT_ASSERT_EQUAL(events_until(400), answer_.body);
-        CPPUNIT_ASSERT(at_first.copies > 1);
+        CPPUNIT_ASSERT(source.copies > 1);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{0}, testbed_.second_server().count("/stream/"));
     }
 
-    void test_a_leaving_server_is_seen_while_the_store_is_away()
+    void test_a_draining_server_is_detected_during_a_store_outage()
     {
-        leave_unlisted(true);
+        drain_without_record(true);
     }
 
-    // The store answers, but brings no news.
-    void test_a_leaving_server_is_seen_while_its_list_is_held_up()
+    // The store responds, but without the server's new state.
+    void test_a_draining_server_is_detected_before_its_record()
     {
-        leave_unlisted(false);
+        drain_without_record(false);
     }
 
-    void leave_unlisted(bool store_away)
+    void drain_without_record(bool is_store_unavailable)
     {
-        moving_server at_first;
-        moving_server at_second;
-        std::atomic<bool> leaves = false;
+        migrating_server source;
+        migrating_server destination;
+        std::atomic<bool> is_draining = false;
         testbed_.first_server().set_handler(
-            [&](http::exchange& asked) -> asio::awaitable<void> {
-                if (asked.received().target != "/api/report") {
-                    co_await at_first(asked);
+            [&](http::exchange& exchange) -> asio::awaitable<void> {
+                if (exchange.received().target != "/api/report") {
+                    co_await source(exchange);
                     co_return;
                 }
                 http::response report = fake_server::signed_response(
-                    asked,
+                    exchange,
                     200,
-                    leaves ? R"({"state":"draining"})"
-                           : R"({"state":"ready"})");
-                [[maybe_unused]] const auto said =
-                    co_await asked.respond(std::move(report));
+                    is_draining ? R"({"state":"draining"})"
+                                : R"({"state":"ready"})");
+                [[maybe_unused]] const auto written =
+                    co_await exchange.respond(std::move(report));
             });
         testbed_.second_server().set_handler(
-            [&at_second](http::exchange& asked) -> asio::awaitable<void> {
-                co_await at_second(asked);
+            [&destination](http::exchange& exchange) -> asio::awaitable<void> {
+                co_await destination(exchange);
             });
         testbed_.publish(1);
         testbed_.register_server(testbed_.first_server(), "ready");
@@ -372,18 +378,17 @@
         http::response answer;
         std::thread caller(
             [this, &answer] { answer = testbed_.call("POST", "/stream/"); });
-        testbed::wait_until(
-            "events", [&at_first] { return at_first.sent > 3; });
+        testbed::wait_until("events", [&source] { return source.sent > 3; });
         testbed_.register_server(testbed_.second_server(), "ready");
-        if (store_away)
+        if (is_store_unavailable)
             testbed_.store().set_status(503);
-        leaves = true;
+        is_draining = true;
         caller.join();
         CPPUNIT_ASSERT_EQUAL(200U, answer.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(at_second.sent), answer.body);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer.body);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(moves_world_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(migration_test);
 
 } // namespace
--- a/tests/platform_adapter/record_parsing_test.cpp
+++ b/tests/platform_adapter/record_parsing_test.cpp
@@ -22,7 +22,7 @@
 using namespace godwit::platform_adapter;
 using namespace std::string_literals;
 
-boost::json::object sample_entry()
+boost::json::object sample_record()
 {
     return {
         {"service", "lm"},
@@ -37,21 +37,21 @@
 }
 
 core::result<placement::backend_server>
-read_entry(const boost::json::object& entry)
+parse_record(const boost::json::object& record)
 {
-    return read_server("i-1", boost::json::serialize(entry));
+    return read_server("i-1", boost::json::serialize(record));
 }
 
 core::result<placement::backend_server>
 read_with(std::string_view field, boost::json::value value)
 {
-    boost::json::object entry = sample_entry();
-    entry[field] = std::move(value);
-    return read_entry(entry);
+    boost::json::object record = sample_record();
+    record[field] = std::move(value);
+    return parse_record(record);
 }
 
-// Two offsets of eight bytes: the end and the first record.
-std::string head_of(char end)
+// Returns the two offsets of eight bytes: the end and the first record.
+std::string offsets_header(char end)
 {
     return std::string(7, '\0') + end + std::string(8, '\0');
 }
@@ -73,46 +73,47 @@
     }
 }
 
-// What others may write to the topics that this system reads.
-class entries_test : public CppUnit::TestFixture
+// Guards against malformed records, which other writers may append to the
+// topics that this system reads.
+class record_parsing_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(entries_test);
-    CPPUNIT_TEST(test_a_whole_entry_is_read);
-    CPPUNIT_TEST(test_a_life_is_told_by_its_start);
-    CPPUNIT_TEST(test_an_entry_that_lacks_a_field_is_refused);
+    CPPUNIT_TEST_SUITE(record_parsing_test);
+    CPPUNIT_TEST(test_a_complete_record_is_read);
+    CPPUNIT_TEST(test_the_start_time_must_be_a_positive_integer);
+    CPPUNIT_TEST(test_a_record_with_a_missing_field_is_refused);
     CPPUNIT_TEST(test_a_field_of_another_type_is_refused);
     CPPUNIT_TEST(test_numbers_out_of_range_are_refused);
-    CPPUNIT_TEST(test_only_the_named_states_are_taken);
-    CPPUNIT_TEST(test_an_id_is_fit_for_a_header_field);
-    CPPUNIT_TEST(test_an_unreadable_record_hides_no_other);
-    CPPUNIT_TEST(test_an_unreadable_item_hides_no_other);
-    CPPUNIT_TEST(test_bytes_that_are_no_text_hide_no_item);
-    CPPUNIT_TEST(test_a_page_goes_on_after_its_last_readable_key);
-    CPPUNIT_TEST(test_only_base64_is_a_value);
-    CPPUNIT_TEST(test_entries_of_hosts);
-    CPPUNIT_TEST(test_reports_tell_the_start);
-    CPPUNIT_TEST(test_mutated_entries);
+    CPPUNIT_TEST(test_unknown_states_are_refused);
+    CPPUNIT_TEST(test_ids_must_be_valid_in_header_fields);
+    CPPUNIT_TEST(test_a_malformed_record_does_not_hide_others);
+    CPPUNIT_TEST(test_a_malformed_item_does_not_hide_others);
+    CPPUNIT_TEST(test_invalid_utf8_does_not_hide_items);
+    CPPUNIT_TEST(test_the_next_page_starts_after_the_last_readable_key);
+    CPPUNIT_TEST(test_values_must_be_base64);
+    CPPUNIT_TEST(test_host_records);
+    CPPUNIT_TEST(test_reports_contain_the_start_time);
+    CPPUNIT_TEST(test_mutated_records);
     CPPUNIT_TEST(test_mutated_pages);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_a_whole_entry_is_read()
+    void test_a_complete_record_is_read()
     {
-        const auto server = read_entry(sample_entry()).value();
+        const auto server = parse_record(sample_record()).value();
         CPPUNIT_ASSERT(server.state == placement::server_state::ready);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{24}, server.slots);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, server.revision);
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t{1700000000000}, server.start.unix_ms);
-        // What the platform may add later.
+        // The platform may add fields later.
         CPPUNIT_ASSERT(read_with("colour", "red"));
     }
 
-    void test_a_life_is_told_by_its_start()
+    void test_the_start_time_must_be_a_positive_integer()
     {
-        boost::json::object older = sample_entry();
+        boost::json::object older = sample_record();
         older.erase("born");
-        CPPUNIT_ASSERT(!read_entry(older)->start.is_known());
-        for (const boost::json::value& odd :
+        CPPUNIT_ASSERT(!parse_record(older)->start.is_known());
+        for (const boost::json::value& malformed :
              {boost::json::value("1700000000000"),
               boost::json::value(1700000000000.5),
               boost::json::value(0),
@@ -121,22 +122,22 @@
               boost::json::value(true),
               boost::json::value(nullptr),
               boost::json::value(boost::json::array{1700000000000})})
-            CPPUNIT_ASSERT(!read_with("born", odd));
+            CPPUNIT_ASSERT(!read_with("born", malformed));
     }
 
-    void test_an_entry_that_lacks_a_field_is_refused()
+    void test_a_record_with_a_missing_field_is_refused()
     {
         for (const char* field :
              {"service", "address", "zone", "slots", "state", "sequence"}) {
-            boost::json::object entry = sample_entry();
-            entry.erase(field);
-            CPPUNIT_ASSERT_MESSAGE(field, !read_entry(entry));
+            boost::json::object record = sample_record();
+            record.erase(field);
+            CPPUNIT_ASSERT_MESSAGE(field, !parse_record(record));
         }
     }
 
     void test_a_field_of_another_type_is_refused()
     {
-        const std::vector<boost::json::value> odd{
+        const std::vector<boost::json::value> malformed{
             nullptr,
             true,
             boost::json::object{},
@@ -151,7 +152,7 @@
               "state",
               "warmup_left_ms",
               "sequence"}) {
-            for (const boost::json::value& value : odd)
+            for (const boost::json::value& value : malformed)
                 CPPUNIT_ASSERT_MESSAGE(field, !read_with(field, value));
         }
         for (const char* field : {"service", "address", "zone", "state"})
@@ -178,7 +179,7 @@
         CPPUNIT_ASSERT(!read_with("service", ""));
     }
 
-    void test_only_the_named_states_are_taken()
+    void test_unknown_states_are_refused()
     {
         CPPUNIT_ASSERT(
             read_with("state", "draining")->state ==
@@ -187,17 +188,17 @@
             CPPUNIT_ASSERT_MESSAGE(state, !read_with("state", state));
     }
 
-    void test_an_id_is_fit_for_a_header_field()
+    void test_ids_must_be_valid_in_header_fields()
     {
-        const std::string text = boost::json::serialize(sample_entry());
+        const std::string text = boost::json::serialize(sample_record());
         for (const std::string& id :
              {""s, "i 1"s, "i-1\r\nX: y"s, "i\0"s, "i-\xff"s, "i-\x7f"s})
             CPPUNIT_ASSERT(!read_server(id, text));
     }
 
-    void test_an_unreadable_record_hides_no_other()
+    void test_a_malformed_record_does_not_hide_others()
     {
-        const std::string body = head_of(9) + write_record("a", "1") +
+        const std::string body = offsets_header(9) + write_record("a", "1") +
                                  "\0\0\0\0"s + "\0\0\0\2\x09x"s +
                                  write_record("b", "2");
         const auto page = read_records(body, 5);
@@ -209,7 +210,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, page->records[1].offset);
     }
 
-    void test_an_unreadable_item_hides_no_other()
+    void test_a_malformed_item_does_not_hide_others()
     {
         const auto page = read_newest(
             R"({"items":[{"key":"a","value":"e30=","offset":1},7,null,)"
@@ -224,9 +225,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, page->page.skipped);
     }
 
-    // Keys are bytes; a store that writes them into JSON as they are, or as
-    // half of a surrogate pair, must not hide the others.
-    void test_bytes_that_are_no_text_hide_no_item()
+    // Keys are arbitrary bytes. The store may write them into JSON unchanged or
+    // as a lone surrogate, which must not hide the other items.
+    void test_invalid_utf8_does_not_hide_items()
     {
         for (const std::string& key :
              {"\xff\xfe"s, "\\udcff"s, "\\ud800x"s, "\\ud800\\ud800"s}) {
@@ -242,7 +243,7 @@
         }
     }
 
-    void test_a_page_goes_on_after_its_last_readable_key()
+    void test_the_next_page_starts_after_the_last_readable_key()
     {
         const auto page = read_newest(
             R"({"items":[{"key":"a","value":"e30=","offset":1},)"
@@ -252,7 +253,7 @@
         CPPUNIT_ASSERT(page->continue_after == "m");
     }
 
-    void test_only_base64_is_a_value()
+    void test_values_must_be_base64()
     {
         const auto read = [](const std::string& value) {
             const auto page = read_newest(
@@ -263,9 +264,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("{}"), *read("e30=")[0].value);
         CPPUNIT_ASSERT_EQUAL(std::string("{"), *read("ew==")[0].value);
         CPPUNIT_ASSERT_EQUAL(std::string("{ }"), *read("eyB9")[0].value);
-        // As an empty record of the log: the key was dropped.
+        // Like an empty record of the log: the key was deleted.
         CPPUNIT_ASSERT(!read("")[0].value);
-        for (const char* odd :
+        for (const char* malformed :
              {"e",
               "e3",
               "e30",
@@ -278,14 +279,14 @@
               "e30=\\n",
               "e30-e30_",
               "eyB9eyB9eyB9eyB9eyB9eyB9eyB9eyB"})
-            CPPUNIT_ASSERT_MESSAGE(odd, read(odd).empty());
+            CPPUNIT_ASSERT_MESSAGE(malformed, read(malformed).empty());
     }
 
-    void test_entries_of_hosts()
+    void test_host_records()
     {
         const auto host = read_host("h1", "10.1.2.3:80/east").value();
         CPPUNIT_ASSERT_EQUAL(std::string("10.1.2.3:80/east"), write_host(host));
-        const std::vector<std::pair<std::string, std::string>> odd{
+        const std::vector<std::pair<std::string, std::string>> malformed{
             {"h1", ""},
             {"h1", "10.1.2.3:80"},
             {"h1", "10.1.2.3:80/"},
@@ -298,11 +299,11 @@
             {"", "10.1.2.3:80/east"},
             {"h\n1", "10.1.2.3:80/east"},
             {"h1", "10.1.2.3:80/" + std::string(1000, 'z')}};
-        for (const auto& [name, text] : odd)
+        for (const auto& [name, text] : malformed)
             CPPUNIT_ASSERT_MESSAGE(text, !read_host(name, text));
     }
 
-    void test_reports_tell_the_start()
+    void test_reports_contain_the_start_time()
     {
         const auto read = [](const std::string& body) {
             return request_codec::read_report({200, {}, body});
@@ -315,13 +316,13 @@
         CPPUNIT_ASSERT(!read(R"({"born":1.5})"));
     }
 
-    // Whatever is read is in range; the sanitizer builds see the rest.
-    void test_mutated_entries()
+    // Accepted values are in range; sanitizer builds detect other faults.
+    void test_mutated_records()
     {
         core::random random(3);
-        const std::string whole = boost::json::serialize(sample_entry());
+        const std::string original = boost::json::serialize(sample_record());
         for (int round = 0; round < 20000; ++round) {
-            std::string text = whole;
+            std::string text = original;
             const auto mutations = 1 + random.below(4);
             for (std::uint64_t index = 0; index < mutations; ++index)
                 mutate(text, random);
@@ -334,8 +335,8 @@
         }
     }
 
-    // What lies before the mutated item and after it is read all the same,
-    // unless the page itself is none any more.
+    // The items before and after the mutated one are still read, unless the
+    // page itself became malformed.
     void test_mutated_pages()
     {
         core::random random(4);
@@ -357,7 +358,7 @@
             const std::string size =
                 "\0\0\0"s + static_cast<char>(bytes.size());
             const auto read = read_records(
-                head_of(3) + write_record("a", "1") + size + bytes +
+                offsets_header(3) + write_record("a", "1") + size + bytes +
                     write_record("b", "2"),
                 0);
             CPPUNIT_ASSERT(read.has_value());
@@ -368,6 +369,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(entries_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(record_parsing_test);
 
 } // namespace
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -26,22 +26,22 @@
     return core::time_point(std::chrono::milliseconds(milliseconds));
 }
 
-/// What a server's record says.
-enum class listing
+/// The state in a server's record.
+enum class record_state
 {
     ready,
     draining,
-    dropped,
+    deleted,
 };
 
 struct server_record
 {
-    listing says = listing::ready;
+    record_state state = record_state::ready;
     unsigned sequence = 0;
 
     [[nodiscard]] std::string key() const
     {
-        return std::to_string(static_cast<int>(says)) + '.' +
+        return std::to_string(static_cast<int>(state)) + '.' +
                std::to_string(sequence);
     }
 
@@ -49,8 +49,7 @@
     operator==(const server_record&, const server_record&) = default;
 };
 
-/// One backend server, its topic, and hosts that tell each other that it
-/// leaves.
+/// Model of one backend server, its topic, and the hosts that read it.
 class server_model
 {
 public:
@@ -59,18 +58,19 @@
     [[nodiscard]] std::vector<server_model> successors() const
     {
         successor_list<server_model> made(*this);
-        made.add(now_.says == listing::ready, [](auto& next) {
-            next.write({listing::draining, next.now_.sequence + 1});
+        made.add(current_.state == record_state::ready, [](auto& next) {
+            next.write({record_state::draining, next.current_.sequence + 1});
         });
-        made.add(now_.says == listing::draining, [](auto& next) {
-            next.write({listing::dropped, next.now_.sequence});
+        made.add(current_.state == record_state::draining, [](auto& next) {
+            next.write({record_state::deleted, next.current_.sequence});
         });
         made.add(
-            now_.says == listing::ready && now_.sequence < most_beats,
+            current_.state == record_state::ready &&
+                current_.sequence < max_heartbeats,
             [](auto& next) {
-                next.write({listing::ready, next.now_.sequence + 1});
+                next.write({record_state::ready, next.current_.sequence + 1});
             });
-        made.add(is_lost(), [](auto& next) { next.write(next.now_); });
+        made.add(is_lost(), [](auto& next) { next.write(next.current_); });
         made.add(store_.backed_up < store_.log.size(), [](auto& next) {
             next.store_.backed_up = next.store_.log.size();
         });
@@ -78,11 +78,11 @@
             next.store_.restore();
         });
         for (std::size_t host = 0; host < hosts; ++host) {
-            made.add(!hosts_[host].reader.answer, [host](auto& next) {
+            made.add(!hosts_[host].reader.response, [host](auto& next) {
                 next.ask(host);
             });
             made.add(
-                hosts_[host].reader.answer.has_value(),
+                hosts_[host].reader.response.has_value(),
                 [host](auto& next) { next.deliver(host); });
         }
         return made.take();
@@ -91,17 +91,17 @@
     [[nodiscard]] std::string violation() const
     {
         for (const host_model& host : hosts_) {
-            if (host.used_after_leaving)
+            if (host.used_after_removal)
                 return "a server that left is used again";
-            if (host.lost_while_alive)
+            if (host.removed_while_running)
                 return "a living server is taken for gone";
         }
         server_model settled = *this;
         settled.settle();
         for (const host_model& host : settled.hosts_) {
-            if (host.lost_while_alive)
+            if (host.removed_while_running)
                 return "a living server is taken for gone in the end";
-            if (host.is_usable() != (now_.says == listing::ready))
+            if (host.is_usable() != (current_.state == record_state::ready))
                 return host.is_usable() ? "a server that left stays in use"
                                         : "a living server is not used";
         }
@@ -110,17 +110,17 @@
 
     [[nodiscard]] std::string key() const
     {
-        std::string text = store_.key() + ';' + now_.key();
+        std::string text = store_.key() + ';' + current_.key();
         for (const host_model& host : hosts_)
             text += ';' + host.key();
         return text;
     }
 
-    /// Both hosts use the server, and the copy lacks it.
+    /// Both hosts use the server, which is missing in the backup.
     static server_model start()
     {
         server_model made;
-        made.write({listing::ready, 1});
+        made.write({record_state::ready, 1});
         for (host_model& host : made.hosts_)
             host.outage.set_current(true, at_ms(0));
         made.settle();
@@ -129,7 +129,7 @@
 
 private:
     static constexpr unsigned last_epoch = 3;
-    static constexpr unsigned most_beats = 2;
+    static constexpr unsigned max_heartbeats = 2;
     static constexpr int round_ms = 100;
 
     static placement::server_id id() { return placement::server_id("i-1"); }
@@ -139,9 +139,9 @@
         reader_model<server_record> reader;
         entry::server_list_outage outage;
         placement::server_directory directory;
-        bool has_left = false;
-        bool used_after_leaving = false;
-        bool lost_while_alive = false;
+        bool was_removed = false;
+        bool used_after_removal = false;
+        bool removed_while_running = false;
 
         [[nodiscard]] bool is_usable() const
         {
@@ -150,25 +150,27 @@
 
         [[nodiscard]] std::string key() const
         {
-            const auto* known = directory.find(id());
+            const auto* visited = directory.find(id());
             return reader.key() + (is_usable() ? "u" : "-") +
-                   (has_left ? "l" : "-") + (used_after_leaving ? "!" : "") +
-                   (lost_while_alive ? "?" : "") + (has_lapsed ? "p" : "") +
-                   (known != nullptr ? std::to_string(known->revision) : "");
+                   (was_removed ? "l" : "-") + (used_after_removal ? "!" : "") +
+                   (removed_while_running ? "?" : "") +
+                   (is_missing ? "p" : "") +
+                   (visited != nullptr ? std::to_string(visited->revision)
+                                       : "");
         }
 
-        bool has_lapsed = false; ///< Its entry is missing in the list.
+        bool is_missing = false; ///< The server's record is missing or deleted.
     };
 
     void write(const server_record& record)
     {
-        now_ = record;
+        current_ = record;
         store_.log.push_back(record);
     }
 
     [[nodiscard]] bool is_lost() const
     {
-        return store_.log.empty() || !(store_.log.back() == now_);
+        return store_.log.empty() || !(store_.log.back() == current_);
     }
 
     void ask(std::size_t host) { hosts_[host].reader.ask(store_); }
@@ -178,51 +180,52 @@
         host_model& host = hosts_[at];
         host.reader.deliver(
             [this, &host] { host.outage.record_restore(at_ms(time_ms_)); },
-            [this, &host](const auto& answer) {
-                // Of a whole list the newest record counts alone.
-                if (answer.is_snapshot)
-                    take(
+            [this, &host](const auto& response) {
+                // In a snapshot only the newest record counts.
+                if (response.is_snapshot)
+                    apply(
                         host,
-                        answer.records.empty()
-                            ? server_record{listing::dropped, 0}
-                            : answer.records.back());
+                        response.records.empty()
+                            ? server_record{record_state::deleted, 0}
+                            : response.records.back());
                 else
-                    for (const server_record& record : answer.records)
-                        take(host, record);
+                    for (const server_record& record : response.records)
+                        apply(host, record);
             });
     }
 
-    void take(host_model& host, const server_record& record)
+    void apply(host_model& host, const server_record& record)
     {
         const bool was_usable = host.is_usable();
-        host.has_lapsed = record.says == listing::dropped;
-        if (record.says == listing::dropped) {
+        host.is_missing = record.state == record_state::deleted;
+        if (record.state == record_state::deleted) {
             host.directory.delisted(
                 id(), host.outage.state_at(at_ms(time_ms_)), at_ms(time_ms_));
         } else {
-            host.directory.listed(entry_of(record), at_ms(time_ms_));
+            host.directory.listed(server_of(record), at_ms(time_ms_));
             host.directory.still_listed(id());
         }
-        note(host, was_usable);
+        update_flags(host, was_usable);
     }
 
-    void note(host_model& host, bool was_usable)
+    void update_flags(host_model& host, bool was_usable)
     {
         const bool is_usable = host.is_usable();
-        host.used_after_leaving |= host.has_left && is_usable;
+        host.used_after_removal |= host.was_removed && is_usable;
         const bool left = was_usable && !is_usable;
-        host.lost_while_alive |= left && now_.says == listing::ready;
-        host.has_left |= left;
+        host.removed_while_running |=
+            left && current_.state == record_state::ready;
+        host.was_removed |= left;
     }
 
-    static placement::backend_server entry_of(const server_record& record)
+    static placement::backend_server server_of(const server_record& record)
     {
         placement::backend_server made{
             .id = id(),
             .service = core::service_name("lm"),
             .address = http::endpoint::parse("127.0.0.1:1").value(),
             .zone = {}};
-        made.state = record.says == listing::ready
+        made.state = record.state == record_state::ready
                          ? placement::server_state::ready
                          : placement::server_state::draining;
         made.revision = record.sequence;
@@ -230,8 +233,8 @@
         return made;
     }
 
-    // The server writes itself again a second after the restore, well within
-    // the time that it has.
+    // The server registers again one second after the restore, well within its
+    // grace period.
     void settle()
     {
         constexpr int rewrite_round = 10;
@@ -239,21 +242,21 @@
         for (int round = 0; round < rounds; ++round) {
             time_ms_ += round_ms;
             if (round == rewrite_round && is_lost())
-                write(now_);
+                write(current_);
             for (std::size_t host = 0; host < hosts; ++host) {
-                if (!hosts_[host].reader.answer)
+                if (!hosts_[host].reader.response)
                     ask(host);
                 deliver(host);
                 const bool was_usable = hosts_[host].is_usable();
-                [[maybe_unused]] const auto gone =
+                [[maybe_unused]] const auto expired =
                     hosts_[host].directory.expire(at_ms(time_ms_));
-                note(hosts_[host], was_usable);
+                update_flags(hosts_[host], was_usable);
             }
         }
     }
 
     store_model<server_record> store_;
-    server_record now_;
+    server_record current_;
     int time_ms_ = 10000;
     std::array<host_model, hosts> hosts_;
 };
--- a/tests/platform_adapter/restored_store_test.cpp
+++ b/tests/platform_adapter/restored_store_test.cpp
@@ -1,5 +1,5 @@
-// A store that restarts from an older copy of its records loses what came since
-// and gives its offsets out again.
+// Guards against missed records after the store restarts from an older copy: it
+// loses all later records and reuses their offsets.
 
 #include "testbed.hpp"
 
@@ -17,18 +17,18 @@
 class restored_store_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(restored_store_test);
-    CPPUNIT_TEST(test_a_version_at_a_reused_offset_comes_into_force);
-    CPPUNIT_TEST(test_a_shorter_log_is_noticed_without_an_era);
+    CPPUNIT_TEST(test_a_version_at_a_reused_offset_is_applied);
+    CPPUNIT_TEST(test_a_shorter_log_reveals_a_restore_without_epochs);
     CPPUNIT_TEST(test_two_restores_within_a_second);
     CPPUNIT_TEST(
-        test_an_accepted_version_stays_while_the_store_has_an_older_one);
-    CPPUNIT_TEST(test_an_open_read_of_another_topic_is_abandoned);
-    CPPUNIT_TEST(test_a_living_server_that_the_copy_lacks_stays_in_use);
-    CPPUNIT_TEST(test_a_server_that_is_not_listed_again_is_gone);
-    CPPUNIT_TEST(test_a_server_that_left_is_not_used_again);
-    CPPUNIT_TEST(test_an_entry_that_is_written_again_unchanged_counts);
-    CPPUNIT_TEST(test_a_hosts_own_record_is_written_again);
-    CPPUNIT_TEST(test_hosts_that_the_copy_lacks_stay_known);
+        test_a_version_is_kept_when_the_restored_store_has_an_older_one);
+    CPPUNIT_TEST(test_an_open_read_of_another_topic_is_cancelled);
+    CPPUNIT_TEST(test_a_running_server_missing_in_the_backup_stays_usable);
+    CPPUNIT_TEST(test_a_server_that_does_not_register_again_is_removed);
+    CPPUNIT_TEST(test_a_restored_record_does_not_revive_a_draining_server);
+    CPPUNIT_TEST(test_an_unchanged_rewritten_record_counts);
+    CPPUNIT_TEST(test_a_host_rewrites_its_missing_record);
+    CPPUNIT_TEST(test_hosts_missing_in_the_backup_stay_known);
     CPPUNIT_TEST_SUITE_END();
 
     testbed testbed_;
@@ -40,9 +40,9 @@
         });
     }
 
-    // As many versions are written anew as were lost, so no read's offset is
+    // As many versions are written as were lost, so that no read's offset is
     // beyond the end.
-    void test_a_version_at_a_reused_offset_comes_into_force()
+    void test_a_version_at_a_reused_offset_is_applied()
     {
         testbed_.start();
         testbed_.store().back_up();
@@ -59,11 +59,12 @@
             200U, testbed_.call("POST", "/plain/", "k2").status);
     }
 
-    // One topic's shorter log shows it; the other's has the length it had.
-    void test_a_shorter_log_is_noticed_without_an_era()
+    // One topic's shorter log reveals the restore; the other log is as long as
+    // before.
+    void test_a_shorter_log_reveals_a_restore_without_epochs()
     {
         testbed_.store().set_epoch(std::nullopt);
-        begin_registered();
+        start_registered();
         testbed_.store().back_up();
         testbed_.publish(2);
         wait_for_version(2);
@@ -84,7 +85,7 @@
         wait_for_version(5);
     }
 
-    void test_an_accepted_version_stays_while_the_store_has_an_older_one()
+    void test_a_version_is_kept_when_the_restored_store_has_an_older_one()
     {
         testbed_.start();
         testbed_.store().back_up();
@@ -92,17 +93,17 @@
         wait_for_version(2);
         const unsigned calls = testbed_.store().calls();
         testbed_.store().restore();
-        wait_for_reading_anew(calls);
+        wait_for_resync(calls);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, testbed_.table_version());
         CPPUNIT_ASSERT_EQUAL(
             200U, testbed_.call("POST", "/plain/", "k2").status);
     }
 
-    // A read of the hosts is held open for half a minute; the era that another
-    // topic's answer names ends it.
-    void test_an_open_read_of_another_topic_is_abandoned()
+    // A read of the hosts topic is held open for half a minute; the epoch in
+    // the response of another topic ends it.
+    void test_an_open_read_of_another_topic_is_cancelled()
     {
-        begin_registered();
+        start_registered();
         testbed_.store().back_up();
         testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
@@ -116,7 +117,7 @@
         return {"keyed.hosts", name, "127.0.0.1:9/east"};
     }
 
-    void begin_registered()
+    void start_registered()
     {
         testbed_.start();
         testbed::wait_until("registration", [this] {
@@ -132,8 +133,7 @@
         });
     }
 
-    /// Looks for as long as a server may take to list itself again, with some
-    /// time beyond it.
+    /// Checks for somewhat longer than a server may take to register again.
     bool stays_usable(const std::string& id)
     {
         for (int count = 0; count < 150; ++count) {
@@ -144,76 +144,76 @@
         return true;
     }
 
-    void begin_with_second_lost()
+    void start_with_second_server_not_backed_up()
     {
         testbed_.start_with_first_server();
         testbed_.store().back_up();
         testbed_.register_server(testbed_.second_server(), "ready");
     }
 
-    platform_adapter::test::fake_store::rewritten_record second_entry()
+    platform_adapter::test::fake_store::rewritten_record second_server_record()
     {
         const auto found = testbed_.store().find("keyed.servers", "i-2");
         return {"keyed.servers", "i-2", found.value().second};
     }
 
-    void wait_for_reading_anew(unsigned calls)
+    void wait_for_resync(unsigned calls)
     {
         testbed::wait_until("reads", [this, calls] {
             return testbed_.store().calls() >= calls + 6;
         });
     }
 
-    void test_a_living_server_that_the_copy_lacks_stays_in_use()
+    void test_a_running_server_missing_in_the_backup_stays_usable()
     {
-        begin_with_second_lost();
-        const auto entry = second_entry();
+        start_with_second_server_not_backed_up();
+        const auto record = second_server_record();
         const unsigned calls = testbed_.store().calls();
         testbed_.store().restore();
-        wait_for_reading_anew(calls);
+        wait_for_resync(calls);
         CPPUNIT_ASSERT(is_usable("i-2"));
-        testbed_.store().put(entry.topic, entry.key, entry.value);
+        testbed_.store().put(record.topic, record.key, record.value);
         CPPUNIT_ASSERT(stays_usable("i-2"));
     }
 
-    void test_a_server_that_is_not_listed_again_is_gone()
+    void test_a_server_that_does_not_register_again_is_removed()
     {
-        begin_with_second_lost();
+        start_with_second_server_not_backed_up();
         testbed_.store().restore();
         testbed::wait_until(
             "the server's end", [this] { return !is_usable("i-2"); });
         CPPUNIT_ASSERT(is_usable("i-1"));
     }
 
-    void test_a_server_that_left_is_not_used_again()
+    void test_a_restored_record_does_not_revive_a_draining_server()
     {
         testbed_.start();
         testbed_.store().back_up();
         testbed_.register_server(testbed_.second_server(), "draining");
         const unsigned calls = testbed_.store().calls();
-        // The copy shows it ready.
+        // In the backup it is ready.
         testbed_.store().restore();
-        wait_for_reading_anew(calls);
+        wait_for_resync(calls);
         CPPUNIT_ASSERT(!is_usable("i-2"));
         CPPUNIT_ASSERT(is_usable("i-1"));
     }
 
-    // The first reading of the copy finds it missing, the second one lists it
-    // as it was known.
-    void test_an_entry_that_is_written_again_unchanged_counts()
+    // In the first read after the restore the record is missing; in the second
+    // it is there again, unchanged.
+    void test_an_unchanged_rewritten_record_counts()
     {
-        begin_with_second_lost();
-        const auto entry = second_entry();
+        start_with_second_server_not_backed_up();
+        const auto record = second_server_record();
         const unsigned calls = testbed_.store().calls();
         testbed_.store().restore();
-        wait_for_reading_anew(calls);
-        testbed_.store().restore({entry});
+        wait_for_resync(calls);
+        testbed_.store().restore({record});
         CPPUNIT_ASSERT(stays_usable("i-2"));
     }
 
-    void test_a_hosts_own_record_is_written_again()
+    void test_a_host_rewrites_its_missing_record()
     {
-        begin_registered();
+        start_registered();
         testbed_.store().put("keyed.hosts", "h1", std::nullopt);
         testbed_.store().back_up();
         testbed_.store().restore();
@@ -222,15 +222,15 @@
         });
     }
 
-    void test_hosts_that_the_copy_lacks_stay_known()
+    void test_hosts_missing_in_the_backup_stay_known()
     {
-        begin_registered();
+        start_registered();
         testbed_.store().back_up();
         testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
         const unsigned calls = testbed_.store().calls();
         testbed_.store().restore();
-        wait_for_reading_anew(calls);
+        wait_for_resync(calls);
         wait_for_fleet(2);
     }
 
--- a/tests/platform_adapter/restored_tables_model_test.cpp
+++ b/tests/platform_adapter/restored_tables_model_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t hosts = 2;
 
-// What may be left to do after a search: enough rounds for all to settle.
+// Enough rounds for all hosts to reach a final state after a search.
 constexpr int settling_rounds = 8;
 
 /// A version of the table.
@@ -28,18 +28,19 @@
     [[nodiscard]] std::string key() const { return std::to_string(version); }
 };
 
-/// The operator, its topic, and hosts that tell each other of versions.
+/// Model of the operator, its topic, and hosts that announce versions to each
+/// other.
 class table_model
 {
 public:
     static constexpr int depth = 10;
 
-    /// The steps that are possible now, each made on a copy.
+    /// Returns the states after each possible step.
     [[nodiscard]] std::vector<table_model> successors() const
     {
         successor_list<table_model> made(*this);
-        made.add(newest_ < most_versions, [](auto& next) { next.publish(); });
-        made.add(is_lost(), [](auto& next) { next.write_again(); });
+        made.add(newest_ < max_versions, [](auto& next) { next.publish(); });
+        made.add(is_lost(), [](auto& next) { next.rewrite(); });
         made.add(store_.backed_up < store_.log.size(), [](auto& next) {
             next.store_.backed_up = next.store_.log.size();
         });
@@ -47,11 +48,11 @@
             next.store_.restore();
         });
         for (std::size_t host = 0; host < hosts; ++host) {
-            made.add(!hosts_[host].reader.answer, [host](auto& next) {
+            made.add(!hosts_[host].reader.response, [host](auto& next) {
                 next.ask(host);
             });
             made.add(
-                hosts_[host].reader.answer.has_value(),
+                hosts_[host].reader.response.has_value(),
                 [host](auto& next) { next.deliver(host); });
             made.add(
                 hosts_[host].announced > hosts_[host].version,
@@ -61,11 +62,12 @@
         return made.take();
     }
 
-    /// Empty unless the rules are broken by now, or once all has settled.
+    /// Returns the violated invariant, now or in the final state; empty if
+    /// none.
     [[nodiscard]] std::string violation() const
     {
         for (const host_model& host : hosts_) {
-            if (host.went_back)
+            if (host.reverted)
                 return "a host went back";
         }
         table_model settled = *this;
@@ -89,7 +91,7 @@
         return text;
     }
 
-    /// Both hosts have the first version, and the copy holds it.
+    /// Both hosts and the backup have the first version.
     static table_model start()
     {
         table_model made;
@@ -100,7 +102,7 @@
     }
 
 private:
-    static constexpr unsigned most_versions = 5;
+    static constexpr unsigned max_versions = 5;
     static constexpr unsigned last_epoch = 3;
 
     struct host_model
@@ -108,7 +110,7 @@
         reader_model<version_record> reader;
         unsigned version = 0;
         unsigned announced = 0;
-        bool went_back = false;
+        bool reverted = false;
     };
 
     void publish()
@@ -122,7 +124,7 @@
         return store_.log.empty() || store_.log.back().version < newest_;
     }
 
-    void write_again() { store_.log.push_back({newest_}); }
+    void rewrite() { store_.log.push_back({newest_}); }
 
     void ask(std::size_t host) { hosts_[host].reader.ask(store_); }
 
@@ -130,21 +132,21 @@
     {
         hosts_[host].reader.deliver(
             [] {},
-            [this, host](const auto& answer) {
-                for (const version_record& record : answer.records)
-                    take(host, record.version);
+            [this, host](const auto& response) {
+                for (const version_record& record : response.records)
+                    apply(host, record.version);
             });
     }
 
-    void take(std::size_t host, unsigned version)
+    void apply(std::size_t host, unsigned version)
     {
-        host_model& taker = hosts_[host];
-        const unsigned before = taker.version;
-        // As entry_process::has_version decides.
+        host_model& applying_host = hosts_[host];
+        const unsigned before = applying_host.version;
+        // The same decision as in entry_process::has_version.
         if (version <= before)
             return;
-        taker.version = version;
-        taker.went_back = taker.version < before;
+        applying_host.version = version;
+        applying_host.reverted = applying_host.version < before;
         for (host_model& other : hosts_)
             other.announced = std::max(other.announced, version);
     }
@@ -155,10 +157,10 @@
             hosts_.begin(), hosts_.end(), [](const auto& one, const auto& two) {
                 return one.version < two.version;
             });
-        take(host, best->version);
+        apply(host, best->version);
     }
 
-    // A new life, greeted by its neighbours.
+    // Restarts the host; its neighbours announce their versions to it.
     void start(std::size_t host)
     {
         ++starts_;
@@ -171,10 +173,10 @@
     void settle()
     {
         if (is_lost())
-            write_again();
+            rewrite();
         for (int round = 0; round < settling_rounds; ++round) {
             for (std::size_t host = 0; host < hosts; ++host) {
-                if (!hosts_[host].reader.answer)
+                if (!hosts_[host].reader.response)
                     ask(host);
                 deliver(host);
             }
--- a/tests/platform_adapter/server_limits_test.cpp
+++ b/tests/platform_adapter/server_limits_test.cpp
@@ -44,7 +44,7 @@
     }
 
     // Starts with a second host in the fleet.
-    void begin_with_neighbour()
+    void start_with_neighbour()
     {
         testbed_.start();
         testbed_.store().put("keyed.hosts", "n0", "127.0.0.1:1/east");
@@ -59,14 +59,15 @@
     static fake_server::request_handler
     answer_with_limit(const std::string& limit, unsigned status = 200)
     {
-        return [limit, status](http::exchange& asked) -> asio::awaitable<void> {
-            http::response whole =
-                fake_server::signed_response(asked, status, event(1));
-            if (!limit.empty())
-                whole.fields.set("Server-Limit", limit);
-            [[maybe_unused]] const auto sent =
-                co_await asked.respond(std::move(whole));
-        };
+        return
+            [limit, status](http::exchange& exchange) -> asio::awaitable<void> {
+                http::response response =
+                    fake_server::signed_response(exchange, status, event(1));
+                if (!limit.empty())
+                    response.fields.set("Server-Limit", limit);
+                [[maybe_unused]] const auto sent =
+                    co_await exchange.respond(std::move(response));
+            };
     }
 
     bool is_limited(fake_server& server)
@@ -88,10 +89,10 @@
     }
 
     // Sends requests one after the other; returns how many succeeded.
-    std::size_t call_for(milliseconds span, const std::string& path)
+    std::size_t call_for(milliseconds duration, const std::string& path)
     {
         std::size_t served = 0;
-        const auto end = clock_type::now() + span;
+        const auto end = clock_type::now() + duration;
         while (clock_type::now() < end) {
             const auto answer = testbed_.call("POST", path);
             served += answer.status == 200 ? 1 : 0;
@@ -162,12 +163,12 @@
         });
         std::size_t refused = 0;
         for (int count = 0; count < 20; ++count) {
-            const auto begun = clock_type::now();
+            const auto started_at = clock_type::now();
             const auto answer = testbed_.call("POST", "/plain/");
             if (answer.status == 200)
                 continue;
             ++refused;
-            CPPUNIT_ASSERT(clock_type::now() - begun < milliseconds(1000));
+            CPPUNIT_ASSERT(clock_type::now() - started_at < milliseconds(1000));
             CPPUNIT_ASSERT_EQUAL(503U, answer.status);
             CPPUNIT_ASSERT(answer.fields.find("Retry-After"));
             CPPUNIT_ASSERT_EQUAL(
@@ -181,7 +182,7 @@
     void test_requests_of_neighbours_count_towards_the_limit()
     {
         testbed_.first_server().set_handler(answer_with_limit("2.0"));
-        begin_with_neighbour();
+        start_with_neighbour();
         fake_neighbours others(1, testbed_.neighbours(), &no_table);
         others.announce_table_version(1);
         call_until_limited(testbed_.first_server());
@@ -205,7 +206,7 @@
     void test_neighbours_receive_limits_and_requests()
     {
         testbed_.first_server().set_handler(answer_with_limit("50"));
-        begin_with_neighbour();
+        start_with_neighbour();
         fake_neighbours others(1, testbed_.neighbours(), &no_table);
         others.announce_table_version(1);
         call_until_limited(testbed_.first_server());
@@ -213,8 +214,8 @@
             [[maybe_unused]] const auto answer =
                 testbed_.call("POST", "/plain/");
             std::size_t sends = 0;
-            for (const wire::server_limits& said : others.limits()) {
-                for (const wire::server_limit& one : said.limits) {
+            for (const wire::server_limits& message : others.limits()) {
+                for (const wire::server_limit& one : message.limits) {
                     CPPUNIT_ASSERT_EQUAL(
                         testbed_.first_server().id(), one.server);
                     CPPUNIT_ASSERT(one.limited);
@@ -266,12 +267,12 @@
         for (const char* value :
              {"-1", "x", "1e99", "inf", "nan", "1,2", "", " ", "0x10"}) {
             testbed_.first_server().set_handler(
-                [value](http::exchange& asked) -> asio::awaitable<void> {
-                    http::response whole =
-                        fake_server::signed_response(asked, 200, "hello");
-                    whole.fields.add("Server-Limit", value);
+                [value](http::exchange& exchange) -> asio::awaitable<void> {
+                    http::response response =
+                        fake_server::signed_response(exchange, 200, "hello");
+                    response.fields.add("Server-Limit", value);
                     [[maybe_unused]] const auto sent =
-                        co_await asked.respond(std::move(whole));
+                        co_await exchange.respond(std::move(response));
                 });
             for (int count = 0; count < 6; ++count)
                 CPPUNIT_ASSERT_EQUAL(
@@ -280,13 +281,13 @@
         }
         // A repeated field is invalid.
         testbed_.first_server().set_handler(
-            [](http::exchange& asked) -> asio::awaitable<void> {
-                http::response whole =
-                    fake_server::signed_response(asked, 200, "hello");
-                whole.fields.add("Server-Limit", "1");
-                whole.fields.add("Server-Limit", "2");
+            [](http::exchange& exchange) -> asio::awaitable<void> {
+                http::response response =
+                    fake_server::signed_response(exchange, 200, "hello");
+                response.fields.add("Server-Limit", "1");
+                response.fields.add("Server-Limit", "2");
                 [[maybe_unused]] const auto sent =
-                    co_await asked.respond(std::move(whole));
+                    co_await exchange.respond(std::move(response));
             });
         for (int count = 0; count < 6; ++count)
             CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
--- a/tests/platform_adapter/store_call_counts_test.cpp
+++ b/tests/platform_adapter/store_call_counts_test.cpp
@@ -14,8 +14,8 @@
 class store_call_counts_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(store_call_counts_test);
-    CPPUNIT_TEST(test_calls_are_told_once_a_span);
-    CPPUNIT_TEST(test_positions_name_era_offset_and_end);
+    CPPUNIT_TEST(test_counts_are_returned_once_per_interval);
+    CPPUNIT_TEST(test_positions_contain_epoch_offset_and_end);
     CPPUNIT_TEST_SUITE_END();
 
     static core::time_point at_s(int seconds)
@@ -23,7 +23,7 @@
         return core::time_point(std::chrono::seconds(seconds));
     }
 
-    void test_calls_are_told_once_a_span()
+    void test_counts_are_returned_once_per_interval()
     {
         store_call_counts counts;
         CPPUNIT_ASSERT(!counts.take_due(at_s(100)));
@@ -37,14 +37,14 @@
         const std::optional<std::string> line = counts.take_due(at_s(110));
         CPPUNIT_ASSERT(line == "a:1:0,b:2:120");
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, counts.logged_failures());
-        // What was told begins anew.
+        // Counts that were returned are cleared.
         counts.record_call("a");
         CPPUNIT_ASSERT(!counts.take_due(at_s(119)));
         CPPUNIT_ASSERT(counts.take_due(at_s(120)) == "a:1:0");
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, counts.logged_failures());
     }
 
-    void test_positions_name_era_offset_and_end()
+    void test_positions_contain_epoch_offset_and_end()
     {
         store_call_counts counts;
         CPPUNIT_ASSERT_EQUAL(std::string(), counts.positions());
--- a/tests/platform_adapter/store_epoch_tracker_test.cpp
+++ b/tests/platform_adapter/store_epoch_tracker_test.cpp
@@ -12,15 +12,15 @@
 class store_epoch_tracker_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(store_epoch_tracker_test);
-    CPPUNIT_TEST(test_a_rise_by_one_is_a_restore);
-    CPPUNIT_TEST(test_an_earlier_era_says_nothing);
-    CPPUNIT_TEST(test_a_larger_rise_has_to_be_named_twice);
-    CPPUNIT_TEST(test_a_false_era_does_not_last);
-    CPPUNIT_TEST(test_what_is_no_era_changes_nothing);
-    CPPUNIT_TEST(test_a_store_without_eras_is_believed);
+    CPPUNIT_TEST(test_an_increase_by_one_is_a_restore);
+    CPPUNIT_TEST(test_an_earlier_epoch_is_outdated);
+    CPPUNIT_TEST(test_a_larger_increase_has_to_be_named_twice);
+    CPPUNIT_TEST(test_a_wrong_epoch_is_replaced);
+    CPPUNIT_TEST(test_malformed_epochs_are_ignored);
+    CPPUNIT_TEST(test_a_store_without_epochs_is_accepted);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_a_rise_by_one_is_a_restore()
+    void test_an_increase_by_one_is_a_restore()
     {
         store_epoch_tracker epochs;
         CPPUNIT_ASSERT(epochs.observe("0") == epoch_status::current);
@@ -30,7 +30,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, epochs.current());
     }
 
-    void test_an_earlier_era_says_nothing()
+    void test_an_earlier_epoch_is_outdated()
     {
         store_epoch_tracker epochs;
         CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
@@ -39,7 +39,7 @@
         CPPUNIT_ASSERT(epochs.observe("5") == epoch_status::current);
     }
 
-    void test_a_larger_rise_has_to_be_named_twice()
+    void test_a_larger_increase_has_to_be_named_twice()
     {
         store_epoch_tracker epochs;
         CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
@@ -51,7 +51,7 @@
         CPPUNIT_ASSERT(epochs.observe("7") == epoch_status::restored);
     }
 
-    void test_a_false_era_does_not_last()
+    void test_a_wrong_epoch_is_replaced()
     {
         store_epoch_tracker epochs;
         CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, epochs.current());
     }
 
-    void test_what_is_no_era_changes_nothing()
+    void test_malformed_epochs_are_ignored()
     {
         store_epoch_tracker epochs;
         CPPUNIT_ASSERT(epochs.observe("4") == epoch_status::current);
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(epochs.observe("5") == epoch_status::restored);
     }
 
-    void test_a_store_without_eras_is_believed()
+    void test_a_store_without_epochs_is_accepted()
     {
         store_epoch_tracker epochs;
         CPPUNIT_ASSERT(epochs.observe(std::nullopt) == epoch_status::current);
--- a/tests/platform_adapter/store_model.hpp
+++ b/tests/platform_adapter/store_model.hpp
@@ -14,13 +14,13 @@
 #include <utility>
 #include <vector>
 
-// A search of all interleavings of a few steps of a store that is restored, its
-// writers and the hosts that read it. Hosts decide by the classes that the
-// entry host runs.
+// Searches all interleavings of a few steps of a store that is restored, its
+// writers and the hosts that read it. The modelled hosts use the production
+// classes for their decisions.
 
 namespace godwit::platform_adapter::test {
 
-/// A store with one topic, restored from the copy that was taken last.
+/// Model of a store with one topic, restored from its last backup.
 template<class Record>
 struct store_model
 {
@@ -28,7 +28,7 @@
     std::vector<Record> log;
     std::size_t backed_up = 0;
 
-    /// What was acknowledged since the copy is gone.
+    /// Loses the records that were acknowledged since the backup.
     void restore()
     {
         log.resize(std::min(backed_up, log.size()));
@@ -45,34 +45,34 @@
     }
 };
 
-/// An answer on its way.
+/// A response in transit.
 template<class Record>
 struct response_model
 {
     unsigned epoch = 0;
     bool is_snapshot = false;
-    bool is_gone = false; ///< 410.
+    bool is_expired = false; ///< Status 410.
     std::uint64_t end = 0;
     std::vector<Record> records;
 
     [[nodiscard]] std::string key() const
     {
         std::string text = std::to_string(epoch) + (is_snapshot ? "w" : "r") +
-                           (is_gone ? "g" : "") + std::to_string(end);
+                           (is_expired ? "g" : "") + std::to_string(end);
         for (const Record& one : records)
             text += ',' + one.key();
         return text;
     }
 };
 
-/// One host's following of the topic, step by step as topic_follower does it.
+/// Model of a host that follows the topic, with the steps of topic_follower.
 template<class Record>
 struct reader_model
 {
     store_epoch_tracker epochs;
     topic_cursor cursor;
     bool is_caught_up = false;
-    std::optional<response_model<Record>> answer;
+    std::optional<response_model<Record>> response;
 
     void ask(const store_model<Record>& store)
     {
@@ -83,37 +83,38 @@
         std::size_t from = 0;
         if (is_caught_up)
             from = cursor.next()->offset;
-        made.is_gone = from > store.log.size();
-        if (!made.is_gone)
+        made.is_expired = from > store.log.size();
+        if (!made.is_expired)
             made.records.assign(
                 store.log.begin() + static_cast<std::ptrdiff_t>(from),
                 store.log.end());
-        answer = std::move(made);
+        response = std::move(made);
     }
 
-    /// `on_restored` before anything of a restored store is taken.
+    /// Calls `on_restored` before any record of a restored store is applied.
     void deliver(
         const std::function<void()>& on_restored,
-        const std::function<void(const response_model<Record>&)>& take)
+        const std::function<void(const response_model<Record>&)>& apply)
     {
-        const response_model<Record> came = std::move(*answer);
-        answer.reset();
-        const epoch_status sign = epochs.observe(std::to_string(came.epoch));
+        const response_model<Record> received = std::move(*response);
+        response.reset();
+        const epoch_status sign =
+            epochs.observe(std::to_string(received.epoch));
         const bool is_usable =
             sign == epoch_status::current || sign == epoch_status::restored;
         std::optional<std::uint64_t> end;
-        if (is_usable && !came.is_gone)
-            end = came.end;
+        if (is_usable && !received.is_expired)
+            end = received.end;
         if (cursor.is_outdated(epochs.current(), end)) {
             cursor.reset();
             is_caught_up = false;
             on_restored();
-        } else if (!is_usable || came.is_gone) {
+        } else if (!is_usable || received.is_expired) {
             is_caught_up = false;
         } else {
-            cursor.advance({epochs.current(), came.end});
+            cursor.advance({epochs.current(), received.end});
             is_caught_up = true;
-            take(came);
+            apply(received);
         }
     }
 
@@ -124,18 +125,18 @@
             text += ':' + std::to_string(cursor.next()->epoch) + ':' +
                     std::to_string(cursor.next()->offset);
         text += is_caught_up ? "c" : "-";
-        return answer ? text + '(' + answer->key() + ')' : text;
+        return response ? text + '(' + response->key() + ')' : text;
     }
 };
 
-/// The states that one step each leads to.
+/// Collects the states that are reachable in one step.
 template<class Model>
 class successor_list
 {
 public:
     explicit successor_list(const Model& from) : from_(from) {}
 
-    /// Makes the step on a copy, if it is possible.
+    /// Applies the step to a copy of the state, if the step is possible.
     template<class Step>
     void add(bool is_possible, const Step& step)
     {
@@ -152,28 +153,29 @@
     std::vector<Model> made_;
 };
 
-/// Every state that a few steps lead to; what is broken first, with its state.
+/// Visits every state reachable in a few steps. Returns the first violation
+/// with its state; empty if there is none.
 template<class Model>
 std::string explore(const char* name)
 {
-    std::unordered_set<std::string> known;
-    std::vector<Model> reached{Model::start()};
+    std::unordered_set<std::string> visited;
+    std::vector<Model> frontier{Model::start()};
     for (int depth = 0; depth < Model::depth; ++depth) {
-        std::vector<Model> further;
-        for (const Model& state : reached) {
+        std::vector<Model> next_frontier;
+        for (const Model& state : frontier) {
             for (Model& next : state.successors()) {
-                if (!known.insert(next.key()).second)
+                if (!visited.insert(next.key()).second)
                     continue;
                 const std::string violation = next.violation();
                 if (!violation.empty())
                     return violation + " after " + std::to_string(depth + 1) +
                            " steps: " + next.key();
-                further.push_back(std::move(next));
+                next_frontier.push_back(std::move(next));
             }
         }
-        reached = std::move(further);
+        frontier = std::move(next_frontier);
     }
-    std::cout << name << ": " << known.size() << " states in " << Model::depth
+    std::cout << name << ": " << visited.size() << " states in " << Model::depth
               << " steps\n";
     return {};
 }
--- a/tests/platform_adapter/stream_helpers.hpp
+++ b/tests/platform_adapter/stream_helpers.hpp
@@ -11,18 +11,18 @@
 
 namespace godwit::platform_adapter::test {
 
-/// One event of a stream, with its id.
+/// Returns one event of a stream, with its id.
 inline std::string event(int id)
 {
     return "id: " + std::to_string(id) + "\ndata: t\n\n";
 }
 
-/// Lets a stand-in server's answer go on after so long.
+/// Delays the response of a fake server.
 inline boost::asio::awaitable<void>
-sleep(http::exchange& asked, int milliseconds)
+sleep(http::exchange& exchange, int milliseconds)
 {
     boost::asio::steady_timer pause(
-        asked.executor(), std::chrono::milliseconds(milliseconds));
+        exchange.executor(), std::chrono::milliseconds(milliseconds));
     co_await pause.async_wait(boost::asio::use_awaitable);
 }
 
--- a/tests/platform_adapter/suspended_host_test.cpp
+++ b/tests/platform_adapter/suspended_host_test.cpp
@@ -1,5 +1,5 @@
-// A machine that was suspended knows nothing of what happened meanwhile, and
-// its requests arrive before the answers of the store do.
+// Guards against serving requests with outdated keys and servers after the
+// machine was suspended: requests arrive before the responses of the store.
 
 #include "testbed.hpp"
 
@@ -19,16 +19,17 @@
 class suspended_host_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(suspended_host_test);
-    CPPUNIT_TEST(test_a_key_that_was_dropped_meanwhile_is_unknown);
-    CPPUNIT_TEST(test_a_key_that_was_added_meanwhile_is_known);
-    CPPUNIT_TEST(test_a_large_table_that_came_meanwhile_is_waited_for);
-    CPPUNIT_TEST(test_a_server_that_left_meanwhile_gets_nothing);
-    CPPUNIT_TEST(test_without_its_store_it_serves_on);
+    CPPUNIT_TEST(test_a_key_removed_during_the_suspension_is_refused);
+    CPPUNIT_TEST(test_a_key_added_during_the_suspension_is_accepted);
+    CPPUNIT_TEST(test_requests_wait_for_a_large_table_published_meanwhile);
+    CPPUNIT_TEST(test_a_server_removed_during_the_suspension_gets_no_requests);
+    CPPUNIT_TEST(test_requests_are_served_while_the_store_is_unavailable);
     CPPUNIT_TEST_SUITE_END();
 
     testbed testbed_;
 
-    /// The status of a request that arrives while the host is suspended.
+    /// Returns the status of a request that arrives while the host is
+    /// suspended.
     unsigned status_after_suspension(
         const std::string& key, const std::function<void()>& meanwhile)
     {
@@ -39,13 +40,13 @@
             status = std::async(std::launch::async, [this, &key] {
                 return testbed_.call("POST", "/plain/", key).status;
             });
-            // Until its bytes are there.
+            // Until its bytes have arrived.
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
         });
         return status.get();
     }
 
-    void begin_with_key(const std::string& key)
+    void start_with_key(const std::string& key)
     {
         testbed_.start();
         testbed_.publish(2, key);
@@ -53,17 +54,17 @@
             "version 2", [this] { return testbed_.table_version() == 2; });
     }
 
-    void test_a_key_that_was_dropped_meanwhile_is_unknown()
+    void test_a_key_removed_during_the_suspension_is_refused()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         const unsigned status =
             status_after_suspension("k2", [this] { testbed_.publish(3); });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 
-    void test_a_key_that_was_added_meanwhile_is_known()
+    void test_a_key_added_during_the_suspension_is_accepted()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         const unsigned status = status_after_suspension(
             "k3", [this] { testbed_.publish(3, "k3"); });
         CPPUNIT_ASSERT_EQUAL(200U, status);
@@ -80,17 +81,17 @@
         return text.replace(text.find(begin), begin.size(), routes);
     }
 
-    // It is read in slices, between which requests are looked at.
-    void test_a_large_table_that_came_meanwhile_is_waited_for()
+    // The table is parsed in slices, and requests are handled between them.
+    void test_requests_wait_for_a_large_table_published_meanwhile()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         const unsigned status = status_after_suspension("k2", [this] {
             testbed_.store().put("keyed.op", "config", large_table(3));
         });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 
-    void test_a_server_that_left_meanwhile_gets_nothing()
+    void test_a_server_removed_during_the_suspension_gets_no_requests()
     {
         testbed_.start();
         const std::size_t before = testbed_.second_server().count("/plain/");
@@ -108,9 +109,9 @@
         CPPUNIT_ASSERT_EQUAL(before, testbed_.second_server().count("/plain/"));
     }
 
-    void test_without_its_store_it_serves_on()
+    void test_requests_are_served_while_the_store_is_unavailable()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         constexpr unsigned unavailable = 503;
         const unsigned status = status_after_suspension(
             "k2", [this] { testbed_.store().set_status(unavailable); });
--- a/tests/platform_adapter/table_changes_test.cpp
+++ b/tests/platform_adapter/table_changes_test.cpp
@@ -1,5 +1,6 @@
-// A change of a few words costs a few hundred bytes between hosts, however
-// large the table is, and what is made of changes is the operator's text.
+// Guards against hosts sending the full route table for a small change, which
+// takes only a few hundred bytes however large the table is, and against
+// changes that do not reproduce the operator's text.
 
 #include "fake_neighbours.hpp"
 #include "testbed.hpp"
@@ -21,44 +22,45 @@
 using platform_adapter::test::table_text;
 using platform_adapter::test::testbed;
 
-constexpr std::size_t most_bytes_a_small_change = 1024;
+constexpr std::size_t max_small_change_bytes = 1024;
 
-/// A neighbour's tables, and the questions that it got; used on its thread.
-class ahead
+/// A neighbour with a newer table, and the pulls that it received; used on its
+/// thread.
+class newer_neighbour
 {
 public:
-    ahead()
+    newer_neighbour()
     {
         history_.set_full(1, table_text(1));
         history_.set_full(2, table_text(2, "k2"));
     }
 
-    wire::table_changes answer(const wire::pull& asked)
+    wire::table_changes answer(const wire::pull& pull)
     {
         const std::lock_guard guard(mutex_);
-        asked_.push_back(asked);
-        return history_.changes_from(asked.base).value();
+        pulls_.push_back(pull);
+        return history_.changes_from(pull.base).value();
     }
 
-    std::vector<wire::pull> asked()
+    std::vector<wire::pull> pulls()
     {
         const std::lock_guard guard(mutex_);
-        return asked_;
+        return pulls_;
     }
 
 private:
     std::mutex mutex_;
     entry::table_history history_;
-    std::vector<wire::pull> asked_;
+    std::vector<wire::pull> pulls_;
 };
 
 class table_changes_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(table_changes_test);
-    CPPUNIT_TEST(test_a_host_takes_what_changed);
-    CPPUNIT_TEST(test_false_changes_are_followed_by_the_whole_table);
-    CPPUNIT_TEST(test_a_host_tells_what_changed);
-    CPPUNIT_TEST(test_a_host_of_an_earlier_release_gets_the_text);
+    CPPUNIT_TEST(test_a_host_applies_changes);
+    CPPUNIT_TEST(test_corrupt_changes_are_followed_by_a_full_table);
+    CPPUNIT_TEST(test_a_host_sends_changes);
+    CPPUNIT_TEST(test_a_host_of_an_earlier_release_gets_the_full_table);
     CPPUNIT_TEST_SUITE_END();
 
     static void await_version(testbed& tested, std::uint64_t version)
@@ -68,52 +70,52 @@
         });
     }
 
-    void test_a_host_takes_what_changed()
+    void test_a_host_applies_changes()
     {
-        ahead newer;
+        newer_neighbour newer;
         testbed tested;
         tested.start_without_store();
         fake_neighbours others(
-            1, tested.neighbours(), [&newer](const wire::pull& asked) {
-                return newer.answer(asked);
+            1, tested.neighbours(), [&newer](const wire::pull& pull) {
+                return newer.answer(pull);
             });
         others.announce_table_version(2);
         await_version(tested, 2);
         CPPUNIT_ASSERT_EQUAL(200U, tested.call("GET", "/plain/", "k2").status);
-        const auto asked = newer.asked();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, asked.size());
-        CPPUNIT_ASSERT(asked[0].base == delta::content_digest(table_text(1)));
+        const auto pulls = newer.pulls();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pulls.size());
+        CPPUNIT_ASSERT(pulls[0].base == delta::content_digest(table_text(1)));
     }
 
-    void test_false_changes_are_followed_by_the_whole_table()
+    void test_corrupt_changes_are_followed_by_a_full_table()
     {
-        ahead newer;
+        newer_neighbour newer;
         testbed tested;
         tested.start_without_store();
         fake_neighbours others(
-            1, tested.neighbours(), [&newer](const wire::pull& asked) {
-                wire::table_changes changes = newer.answer(asked);
+            1, tested.neighbours(), [&newer](const wire::pull& pull) {
+                wire::table_changes changes = newer.answer(pull);
                 if (!changes.base.empty())
                     changes.steps[0].compressed[8] ^= 1;
                 return changes;
             });
         others.announce_table_version(2);
         await_version(tested, 2);
-        const auto asked = newer.asked();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, asked.size());
-        CPPUNIT_ASSERT(asked[1].base.empty());
+        const auto pulls = newer.pulls();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, pulls.size());
+        CPPUNIT_ASSERT(pulls[1].base.empty());
         CPPUNIT_ASSERT_EQUAL(200U, tested.call("GET", "/plain/", "k2").status);
     }
 
-    static wire::message told(fake_neighbours& others, wire::pull question)
+    static wire::message pull_table(fake_neighbours& others, wire::pull pull)
     {
-        others.broadcast(question);
+        others.broadcast(pull);
         testbed::wait_until(
             "a table", [&others] { return !others.table_messages().empty(); });
         return others.table_messages().front();
     }
 
-    void test_a_host_tells_what_changed()
+    void test_a_host_sends_changes()
     {
         testbed tested;
         tested.start();
@@ -122,25 +124,25 @@
         fake_neighbours others(1, tested.neighbours(), [](const wire::pull&) {
             return std::nullopt;
         });
-        entry::table_history behind;
-        behind.set_full(1, table_text(1));
-        const auto said = std::get<wire::table_changes>(
-            told(others, wire::pull{2, behind.digest(), true}));
+        entry::table_history older;
+        older.set_full(1, table_text(1));
+        const auto received = std::get<wire::table_changes>(
+            pull_table(others, wire::pull{2, older.digest(), true}));
         CPPUNIT_ASSERT(
-            said.steps.at(0).compressed.size() < most_bytes_a_small_change);
-        CPPUNIT_ASSERT(behind.apply(said).value() == table_text(2, "k2"));
+            received.steps.at(0).compressed.size() < max_small_change_bytes);
+        CPPUNIT_ASSERT(older.apply(received).value() == table_text(2, "k2"));
     }
 
-    void test_a_host_of_an_earlier_release_gets_the_text()
+    void test_a_host_of_an_earlier_release_gets_the_full_table()
     {
         testbed tested;
         tested.start();
         fake_neighbours others(1, tested.neighbours(), [](const wire::pull&) {
             return std::nullopt;
         });
-        const auto said =
-            std::get<wire::table_document>(told(others, wire::pull{1}));
-        CPPUNIT_ASSERT(said.text == table_text(1));
+        const auto received =
+            std::get<wire::table_document>(pull_table(others, wire::pull{1}));
+        CPPUNIT_ASSERT(received.text == table_text(1));
     }
 };
 
--- a/tests/platform_adapter/table_pull_test.cpp
+++ b/tests/platform_adapter/table_pull_test.cpp
@@ -1,11 +1,12 @@
-// Operators published five versions of 1,940 routes within eight seconds, and
-// callers got 404 for routes that had been acknowledged four seconds earlier.
-// A host that did not have a version a quarter of a second after its
-// neighbours had announced it asked each of them for the whole table. 388 KB
-// take longer than that over a link of 10 Mbit/s, so every host asked, the
-// answers filled all links, and no newer version got through. In 26 s of such
-// a burst 83 hosts logged table_asked 7,169 times, table_sent 7,062 times and
-// table_known 5,783 times: four of five tables were no news when they came.
+// Guards against hosts pulling a route table from all neighbours at once. Hosts
+// that did not have a version 250 ms after its announcement pulled the full
+// table from each neighbour. 388 KB take longer than that over a link of 10
+// Mbit/s, so every host pulled, the responses filled all links, and no newer
+// version got through: after five versions of 1,940 routes within eight
+// seconds, callers got 404 for routes acknowledged four seconds earlier. In 26
+// s of such a burst, 83 hosts logged table_asked 7,169 times, table_sent 7,062
+// times and table_known 5,783 times: four of five tables were already known
+// when they arrived.
 
 #include "fake_neighbours.hpp"
 #include "testbed.hpp"
@@ -26,29 +27,28 @@
 
 constexpr std::size_t neighbours = 8;
 
-class table_questions_test : public CppUnit::TestFixture
+class table_pull_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(table_questions_test);
+    CPPUNIT_TEST_SUITE(table_pull_test);
     CPPUNIT_TEST(test_one_neighbour_sends_the_table);
-    CPPUNIT_TEST(test_another_neighbour_is_asked_when_one_is_silent);
-    CPPUNIT_TEST(test_a_request_is_not_refused_while_a_newer_version_comes);
-    CPPUNIT_TEST(
-        test_a_request_is_refused_when_the_newer_version_does_not_come);
+    CPPUNIT_TEST(test_another_neighbour_is_asked_when_one_does_not_respond);
+    CPPUNIT_TEST(test_a_request_waits_for_an_announced_version);
+    CPPUNIT_TEST(test_a_request_is_refused_if_the_announced_version_is_missing);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::optional<wire::message> table(const wire::pull& asked)
+    static std::optional<wire::message> full_table(const wire::pull& pull)
     {
         return wire::table_document{
-            asked.next_offset,
+            pull.next_offset,
             platform_adapter::test::table_text(
-                static_cast<unsigned>(asked.next_offset))};
+                static_cast<unsigned>(pull.next_offset))};
     }
 
     void test_one_neighbour_sends_the_table()
     {
         testbed tested;
         tested.start_without_store();
-        fake_neighbours others(neighbours, tested.neighbours(), &table);
+        fake_neighbours others(neighbours, tested.neighbours(), &full_table);
         others.announce_table_version(2);
         testbed::wait_until(
             "version 2", [&tested] { return tested.table_version() == 2; });
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.pull_receivers().size());
     }
 
-    void test_another_neighbour_is_asked_when_one_is_silent()
+    void test_another_neighbour_is_asked_when_one_does_not_respond()
     {
         testbed tested;
         tested.start_without_store();
@@ -73,12 +73,12 @@
         testbed::wait_until("another question", [&others] {
             return others.pull_receivers().size() > 1;
         });
-        const auto asked = others.pull_receivers();
-        CPPUNIT_ASSERT(asked[0] != asked[1]);
+        const auto receivers = others.pull_receivers();
+        CPPUNIT_ASSERT(receivers[0] != receivers[1]);
     }
 
     static unsigned
-    status_amid_announcement(fake_neighbours::pull_handler answer)
+    status_after_announcement(fake_neighbours::pull_handler answer)
     {
         testbed tested;
         tested.start_without_store();
@@ -89,25 +89,25 @@
         return tested.call("POST", "/plain/", "k2").status;
     }
 
-    void test_a_request_is_not_refused_while_a_newer_version_comes()
+    void test_a_request_waits_for_an_announced_version()
     {
         const unsigned status =
-            status_amid_announcement([](const wire::pull& asked) {
+            status_after_announcement([](const wire::pull& pull) {
                 return wire::table_document{
-                    asked.next_offset,
+                    pull.next_offset,
                     platform_adapter::test::table_text(2, "k2")};
             });
         CPPUNIT_ASSERT_EQUAL(200U, status);
     }
 
-    void test_a_request_is_refused_when_the_newer_version_does_not_come()
+    void test_a_request_is_refused_if_the_announced_version_is_missing()
     {
-        const unsigned status = status_amid_announcement(
+        const unsigned status = status_after_announcement(
             [](const wire::pull&) { return std::nullopt; });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(table_questions_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(table_pull_test);
 
 } // namespace
--- a/tests/platform_adapter/testbed.cpp
+++ b/tests/platform_adapter/testbed.cpp
@@ -26,7 +26,7 @@
     return http::endpoint::parse("127.0.0.1:0").value();
 }
 
-// A port that was free a moment ago.
+// Returns a port that was free a moment ago.
 http::endpoint free_port()
 {
     asio::io_context context;
@@ -90,22 +90,23 @@
         .seeds = {}};
 }
 
-// A port that was free may be taken before it is bound: by another test's
-// process, or by a connection that gets it by chance.
+// A free port may be taken before it is bound, by another test's process or by
+// an outgoing connection.
 std::unique_ptr<entry::entry_process> start_process(
     asio::io_context& context, const std::vector<http::endpoint>& seeds)
 {
-    constexpr int most_tries = 20;
-    for (int tries = 1;; ++tries) {
+    constexpr int max_attempts = 20;
+    for (int attempt = 1;; ++attempt) {
         entry::entry_settings settings = settings_on_free_ports();
         settings.seeds = seeds;
-        auto made = entry::entry_process::create(
+        auto process = entry::entry_process::create(
             context,
             std::move(settings),
             entry::codec_functions::of<request_codec>());
-        if (made)
-            return std::move(*made);
-        CPPUNIT_ASSERT_MESSAGE(made.error().to_string(), tries < most_tries);
+        if (process)
+            return std::move(*process);
+        CPPUNIT_ASSERT_MESSAGE(
+            process.error().to_string(), attempt < max_attempts);
     }
 }
 
@@ -304,8 +305,8 @@
     }
 }
 
-// The host's one thread stands still meanwhile. The clocks jump first, since
-// the others in this process have deadlines of their own.
+// The host's only thread is blocked meanwhile. The clocks advance first, since
+// the fakes in this process have deadlines of their own.
 void testbed::suspend(
     std::chrono::seconds span, const std::function<void()>& meanwhile)
 {
--- a/tests/platform_adapter/testbed.hpp
+++ b/tests/platform_adapter/testbed.hpp
@@ -19,19 +19,19 @@
 
 namespace godwit::platform_adapter::test {
 
-/// Settings of an entry host "h1" that is alone, at ports that are free now.
+/// Returns settings of a single entry host "h1" at ports that are free now.
 [[nodiscard]] entry::entry_settings settings_on_free_ports();
 
-/// An entry host at ports that are free, linked to `seeds`.
+/// Creates an entry host at free ports, linked to `seeds`.
 [[nodiscard]] std::unique_ptr<entry::entry_process> start_process(
     boost::asio::io_context& context, const std::vector<http::endpoint>& seeds);
 
-/// The table of the tests in a version, as its operator writes it.
+/// Returns the tests' route table with this version, as an operator writes it.
 [[nodiscard]] std::string table_text(
     unsigned version, const std::string& extra_key = "", unsigned hold_ms = 0);
 
-/// An entry host with a store and two servers of the service "lm", each on
-/// threads of their own: the outside on one, the entry host on another.
+/// An entry host with a fake store and two fake servers of the service "lm".
+/// The entry host runs on one thread, the fakes on another.
 class testbed
 {
 public:
@@ -43,44 +43,45 @@
 
     fake_store& store() { return *store_; }
 
-    /// Follows the store's topics once more, as after a new start of the
-    /// process under its name.
+    /// Follows the store's topics a second time, as after a restart of the
+    /// host.
     void restart_sources();
 
     fake_server& first_server() { return *first_; }
 
     fake_server& second_server() { return *second_; }
 
-    /// From the next version on engines keep room for requests, for at most
-    /// so many milliseconds.
+    /// From the next published version on, engines support holds of at most so
+    /// many milliseconds.
     void enable_holds(unsigned longest_ms) { hold_ms_ = longest_ms; }
 
-    /// Later requests say that they have so many prompt tokens, and write so
-    /// many at the most: "prompt,most".
+    /// Sets the token usage of later requests, as "prompt tokens,maximum output
+    /// tokens".
     void set_token_usage(std::string usage) { token_usage_ = std::move(usage); }
 
-    /// Publishes the table of the tests as `version`.
+    /// Publishes the tests' route table as `version`.
     void publish(unsigned version, const std::string& extra_key = "");
 
-    /// The record that publishes the table as `version`.
+    /// Returns the record that publishes the table as `version`.
     [[nodiscard]] fake_store::rewritten_record
     table_record(unsigned version, const std::string& extra_key = "") const;
 
-    /// Lists the server so, and waits until the entry host believes it.
+    /// Registers the server in this state, and waits until the entry host has
+    /// applied it.
     void register_server(fake_server& server, const std::string& state);
 
-    /// Lists the server with a new start time, and waits until the entry host
-    /// has it.
+    /// Registers the server with a new start time, and waits until the entry
+    /// host has applied it.
     void restart(fake_server& server);
 
-    /// Publishes version 1, lists both servers and waits until ready.
+    /// Publishes version 1, registers both servers and waits for readiness.
     void start();
 
-    /// The same, and from then on only neighbours bring what is newer: the
-    /// store answers nobody.
+    /// Does the same and then makes the store unavailable, so that only
+    /// neighbours send anything newer.
     void start_without_store();
 
-    /// As `start`, but lists only the first server.
+    /// Like `start`, but registers only the first server.
     void start_with_first_server();
 
     /// Sends a request with the key "k1" and the id "a1".
@@ -89,46 +90,48 @@
         const std::string& path,
         const std::string& key = "k1");
 
-    /// What a caller of the stream gets; nothing if it was cut.
+    /// Requests a stream; returns nothing if it was interrupted.
     [[nodiscard]] std::optional<http::response> try_stream();
 
-    /// Sends a POST request with this body; nothing if the answer was cut.
+    /// Sends a POST request with this body; returns nothing if the response was
+    /// interrupted.
     [[nodiscard]] std::optional<http::response> try_call(
         const std::string& path,
         const std::string& body,
         const std::string& key = "k1");
 
-    /// Sends the same request and closes the connection after so long.
+    /// Sends a POST request and closes the connection after this time.
     void call_and_disconnect(const std::string& path, int after_ms);
 
-    /// Asks for a page on the operators' address.
+    /// Requests a page from the operators' address.
     [[nodiscard]] http::response get_operator_page(const std::string& page);
 
-    /// Memory that the entry host believes to be on its way to the server.
+    /// Returns the KV cache tokens that the entry host counts as arriving at
+    /// the server.
     [[nodiscard]] std::uint64_t arriving_tokens_at(const fake_server& server);
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     [[nodiscard]] http::endpoint callers() const;
 
-    /// Where other entry hosts connect.
+    /// Returns the address for other entry hosts.
     [[nodiscard]] http::endpoint neighbours() const;
 
-    /// The version of the route table in force.
+    /// Returns the version of the route table in force.
     [[nodiscard]] std::uint64_t table_version();
 
-    /// Suspends the entry host's machine for so long on its clocks, while
-    /// `meanwhile` runs.
+    /// Simulates a suspension of the entry host's machine: advances its clocks
+    /// by `span` and blocks it while `meanwhile` runs.
     void
     suspend(std::chrono::seconds span, const std::function<void()>& meanwhile);
 
-    /// Whether the entry host says that it is ready.
+    /// Returns whether the entry host is ready.
     [[nodiscard]] bool is_ready();
 
     /// Waits until `condition` holds; fails the test after five seconds.
     static void
     wait_until(const std::string& what, const std::function<bool()>& condition);
 
-    /// Runs `run_on_host` on the entry host's thread.
+    /// Runs `function` on the entry host's thread and returns its result.
     template<class Value>
     Value
     run_on_host(const std::function<Value(entry::entry_process&)>& function);
--- a/tests/platform_adapter/topic_follower_test.cpp
+++ b/tests/platform_adapter/topic_follower_test.cpp
@@ -1,6 +1,6 @@
-// A host lives by what it reads of the store's topics. Were an exception, of
-// the answer's reader or of whoever takes a record, to end the following of a
-// topic, the host would serve on with the servers and routes of that moment.
+// Guards against a follower that stops: if an exception from parsing a response
+// or from a handler ended it, the host would keep serving with outdated servers
+// and routes. Also guards against excessive calls to the store.
 
 #include "fake_store.hpp"
 
@@ -21,10 +21,10 @@
 class topic_follower_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(topic_follower_test);
-    CPPUNIT_TEST(test_an_exception_does_not_end_the_following);
-    CPPUNIT_TEST(test_it_rests_while_others_read);
-    CPPUNIT_TEST(test_it_reads_anew_only_if_nobody_reads_for_it);
-    CPPUNIT_TEST(test_it_comes_back_slowly_while_turned_away);
+    CPPUNIT_TEST(test_an_exception_does_not_stop_the_follower);
+    CPPUNIT_TEST(test_it_pauses_while_the_topic_is_relayed);
+    CPPUNIT_TEST(test_it_resyncs_only_if_the_topic_is_not_relayed);
+    CPPUNIT_TEST(test_retries_back_off_while_calls_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     static void fail_once(bool& has_failed)
@@ -33,27 +33,27 @@
             throw std::runtime_error("a fault of whoever takes the records");
     }
 
-    void test_an_exception_does_not_end_the_following()
+    void test_an_exception_does_not_stop_the_follower()
     {
         boost::asio::io_context io{1};
         test::fake_store store(io);
         store.put("t", "first", "1");
         store_client client(io.get_executor(), store.address());
         std::set<std::string> seen;
-        bool has_failed_for_all = false;
-        bool has_failed_for_one = false;
+        bool has_failed_on_snapshot = false;
+        bool has_failed_on_record = false;
         topic_follower follower(
             io.get_executor(),
             client,
             "t",
             {},
             {[&](const std::vector<keyed_record>& records) {
-                 fail_once(has_failed_for_all);
+                 fail_once(has_failed_on_snapshot);
                  for (const keyed_record& record : records)
                      seen.insert(record.key);
              },
              [&](const keyed_record& record) {
-                 fail_once(has_failed_for_one);
+                 fail_once(has_failed_on_record);
                  seen.insert(record.key);
              },
              {}});
@@ -67,12 +67,12 @@
             return seen.contains(key);
         };
         CPPUNIT_ASSERT(run_until_seen("first"));
-        // Both come in one answer; the first of them is the one that fails.
+        // Both arrive in one response; handling the first of them fails.
         store.put("t", "second", "2");
         store.put("t", "third", "3");
         CPPUNIT_ASSERT(run_until_seen("second"));
         CPPUNIT_ASSERT(run_until_seen("third"));
-        CPPUNIT_ASSERT(has_failed_for_all && has_failed_for_one);
+        CPPUNIT_ASSERT(has_failed_on_snapshot && has_failed_on_record);
     }
 
     static void run_for(boost::asio::io_context& io, int milliseconds)
@@ -83,20 +83,20 @@
             io.run_one_for(std::chrono::milliseconds(20));
     }
 
-    // In a large fleet one host of a cell reads; were the others to read, too,
+    // In a large fleet one host of a cell reads. If the others read as well,
     // each change would cost as many calls as there are hosts.
-    void test_it_rests_while_others_read()
+    void test_it_pauses_while_the_topic_is_relayed()
     {
         boost::asio::io_context io{1};
         test::fake_store store(io);
         store.put("t", "first", "1");
         store_client client(io.get_executor(), store.address());
-        bool others_read = true;
+        bool is_relayed = true;
         unsigned reads = 0;
         std::set<std::string> seen;
         topic_poll_policy policy;
-        policy.is_relayed = [&others_read] {
-            return others_read;
+        policy.is_relayed = [&is_relayed] {
+            return is_relayed;
         };
         policy.relayed_poll_interval = std::chrono::seconds(60);
         topic_handlers handlers;
@@ -115,31 +115,31 @@
             io.get_executor(), client, "t", policy, handlers);
         follower.start();
         run_for(io, 500);
-        // What was there at the start is its own to read.
+        // It reads the records that exist at the start itself.
         CPPUNIT_ASSERT(seen.contains("first"));
         store.put("t", "second", "2");
         run_for(io, 500);
         CPPUNIT_ASSERT(!seen.contains("second"));
         CPPUNIT_ASSERT_EQUAL(1U, reads);
         CPPUNIT_ASSERT_EQUAL(1U, store.calls());
-        // The reader falls silent.
-        others_read = false;
+        // The reader stops relaying.
+        is_relayed = false;
         run_for(io, 500);
         CPPUNIT_ASSERT(seen.contains("second"));
     }
 
-    // Were each host of a large fleet to read the list again after a restore,
-    // it would cost as many calls as there are hosts.
-    void test_it_reads_anew_only_if_nobody_reads_for_it()
+    // If each host of a large fleet resynced after a restore, it would cost as
+    // many calls as there are hosts.
+    void test_it_resyncs_only_if_the_topic_is_not_relayed()
     {
         boost::asio::io_context io{1};
         test::fake_store store(io);
         store_client client(io.get_executor(), store.address());
-        bool others_read = true;
+        bool is_relayed = true;
         unsigned reads = 0;
         topic_poll_policy policy;
-        policy.is_relayed = [&others_read] {
-            return others_read;
+        policy.is_relayed = [&is_relayed] {
+            return is_relayed;
         };
         policy.relayed_poll_interval = std::chrono::seconds(60);
         topic_handlers handlers;
@@ -159,12 +159,12 @@
         follower.resync();
         run_for(io, 200);
         CPPUNIT_ASSERT_EQUAL(2U, reads);
-        others_read = false;
+        is_relayed = false;
         run_for(io, 1500);
         CPPUNIT_ASSERT(reads > 2);
     }
 
-    void test_it_comes_back_slowly_while_turned_away()
+    void test_retries_back_off_while_calls_are_rejected()
     {
         boost::asio::io_context io{1};
         test::fake_store store(io);
@@ -184,7 +184,7 @@
         topic_follower follower(
             io.get_executor(), client, "t", policy, handlers);
         follower.start();
-        // Pauses of 0.2, 0.4, 0.8 and 1.6 s, then of 3 s.
+        // Delays of 0.2, 0.4, 0.8 and 1.6 s, then of 3 s.
         run_for(io, 4000);
         CPPUNIT_ASSERT(store.calls() <= 6);
         CPPUNIT_ASSERT_EQUAL(0U, reads);
