--- a/tests/platform_adapter/topic_records_test.cpp
+++ b/tests/platform_adapter/topic_records_test.cpp
@@ -15,35 +15,37 @@
 namespace asio = boost::asio;
 
 constexpr const char* servers_topic = "keyed.servers";
-constexpr std::uint64_t former_life = 1700000000000;
-constexpr std::uint64_t new_life = 1700000009000;
+constexpr std::uint64_t earlier_start_ms = 1700000000000;
+constexpr std::uint64_t later_start_ms = 1700000009000;
 
 asio::awaitable<void>
-answer_with(http::exchange& asked, unsigned status, std::string body)
+respond_with(http::exchange& exchange, unsigned status, std::string body)
 {
-    http::response whole =
-        fake_server::signed_response(asked, status, std::move(body));
-    [[maybe_unused]] const auto sent = co_await asked.respond(std::move(whole));
+    http::response response =
+        fake_server::signed_response(exchange, status, std::move(body));
+    [[maybe_unused]] const auto sent =
+        co_await exchange.respond(std::move(response));
 }
 
-// An entry host whose topics others write to, too, and whose servers start
-// again under their ids.
-class entries_world_test : public CppUnit::TestFixture
+// Guards against malformed records of other writers in the topics of an entry
+// host, and against confusing the incarnations of a server that restarts under
+// its id.
+class topic_records_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(entries_world_test);
-    CPPUNIT_TEST(test_a_refused_entry_takes_only_its_server_away);
-    CPPUNIT_TEST(test_where_servers_say_their_start_others_are_no_servers);
-    CPPUNIT_TEST(test_unreadable_records_blind_nobody);
-    CPPUNIT_TEST(test_a_list_with_unreadable_items_is_read);
-    CPPUNIT_TEST(test_odd_keys_do_not_stop_a_list_in_pages);
-    CPPUNIT_TEST(test_a_key_that_is_no_text_does_not_stop_a_list_in_pages);
-    CPPUNIT_TEST(test_an_entry_of_an_unknown_service_is_harmless);
-    CPPUNIT_TEST(test_refused_hosts_hide_no_other);
-    CPPUNIT_TEST(test_a_host_that_starts_again_writes_no_entry);
-    CPPUNIT_TEST(test_a_server_begins_anew_under_its_id);
-    CPPUNIT_TEST(test_a_server_that_left_begins_anew);
-    CPPUNIT_TEST(test_a_report_of_a_former_life_is_passed_over);
-    CPPUNIT_TEST(test_a_former_life_is_asked_for_no_copy);
+    CPPUNIT_TEST_SUITE(topic_records_test);
+    CPPUNIT_TEST(test_a_malformed_record_removes_only_its_server);
+    CPPUNIT_TEST(test_a_record_without_the_usual_start_time_is_refused);
+    CPPUNIT_TEST(test_malformed_records_do_not_hide_updates);
+    CPPUNIT_TEST(test_a_snapshot_with_malformed_items_is_read);
+    CPPUNIT_TEST(test_unusual_keys_do_not_stop_paging);
+    CPPUNIT_TEST(test_a_key_with_invalid_utf8_does_not_stop_paging);
+    CPPUNIT_TEST(test_a_server_of_an_unknown_service_is_harmless);
+    CPPUNIT_TEST(test_malformed_host_records_do_not_hide_others);
+    CPPUNIT_TEST(test_a_restarted_host_does_not_rewrite_its_record);
+    CPPUNIT_TEST(test_a_restarted_server_replaces_its_earlier_incarnation);
+    CPPUNIT_TEST(test_a_drained_server_can_restart);
+    CPPUNIT_TEST(test_a_report_of_an_earlier_incarnation_is_ignored);
+    CPPUNIT_TEST(test_a_stream_of_an_earlier_incarnation_is_not_migrated);
     CPPUNIT_TEST_SUITE_END();
 
     testbed testbed_;
@@ -56,7 +58,7 @@
         });
     }
 
-    std::uint64_t life_of(const fake_server& server)
+    std::uint64_t start_time_of(const fake_server& server)
     {
         const placement::server_id id(server.id());
         return testbed_.run_on_host<std::uint64_t>(
@@ -66,20 +68,20 @@
             });
     }
 
-    void put_entry(const std::string& key, const std::string& text)
+    void put_record(const std::string& key, const std::string& text)
     {
         testbed_.store().put(servers_topic, key, text);
     }
 
-    void wait_for_life(const fake_server& server, std::uint64_t life)
+    void wait_for_start_time(const fake_server& server, std::uint64_t start_ms)
     {
-        testbed::wait_until("the life " + std::to_string(life), [&] {
-            return life_of(server) == life;
+        testbed::wait_until("the life " + std::to_string(start_ms), [&] {
+            return start_time_of(server) == start_ms;
         });
     }
 
-    // After an outage the newest records are read, in pages.
-    void read_lists_anew()
+    // Causes an outage, after which the newest records are read in pages.
+    void force_resync()
     {
         const unsigned before = testbed_.store().calls();
         testbed_.store().set_status(503);
@@ -89,16 +91,17 @@
         testbed_.store().set_status(0);
     }
 
-    void test_a_refused_entry_takes_only_its_server_away()
+    void test_a_malformed_record_removes_only_its_server()
     {
         testbed_.start();
-        const std::string whole = testbed_.first_server().record("ready", 90);
+        const std::string response =
+            testbed_.first_server().record("ready", 90);
         for (const std::string& text :
              {std::string("{"),
               std::string("\xff\0", 2),
               testbed_.first_server().record("unheard", 90),
-              whole.substr(0, whole.size() / 2)}) {
-            put_entry(testbed_.first_server().id(), text);
+              response.substr(0, response.size() / 2)}) {
+            put_record(testbed_.first_server().id(), text);
             testbed::wait_until("refusal", [this] {
                 return !is_usable(testbed_.first_server());
             });
@@ -108,16 +111,16 @@
         CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
-    // Another writer's entry may lack nothing but the start. Where servers do
-    // not say it at all, every entry lacks it.
-    void test_where_servers_say_their_start_others_are_no_servers()
+    // The record of another writer may lack only the start time. If servers do
+    // not report their start time, all records lack it.
+    void test_a_record_without_the_usual_start_time_is_refused()
     {
         const std::string without = testbed_.first_server().record("ready", 90);
-        testbed_.first_server().restart(former_life);
-        testbed_.second_server().restart(former_life);
+        testbed_.first_server().restart(earlier_start_ms);
+        testbed_.second_server().restart(earlier_start_ms);
         testbed_.start();
-        put_entry("i-other", without);
-        put_entry(testbed_.first_server().id(), without);
+        put_record("i-other", without);
+        put_record(testbed_.first_server().id(), without);
         testbed::wait_until(
             "refusal", [this] { return !is_usable(testbed_.first_server()); });
         const auto knows_other = [](entry::entry_process& process) {
@@ -126,67 +129,67 @@
         };
         CPPUNIT_ASSERT(!testbed_.run_on_host<bool>(knows_other));
         CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
-        read_lists_anew();
+        force_resync();
         testbed_.register_server(testbed_.first_server(), "ready");
         CPPUNIT_ASSERT(!testbed_.run_on_host<bool>(knows_other));
     }
 
-    void test_unreadable_records_blind_nobody()
+    void test_malformed_records_do_not_hide_updates()
     {
         testbed_.start();
         const unsigned calls = testbed_.store().calls();
         for (int count = 0; count < 20; ++count) {
             testbed_.store().put_unreadable(servers_topic);
-            put_entry("i-9", "no entry");
-            put_entry("", "{}");
+            put_record("i-9", "no entry");
+            put_record("", "{}");
         }
         testbed_.register_server(testbed_.first_server(), "draining");
         CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
-        // Nor is the list read anew for it, again and again.
+        // The malformed records do not cause repeated resyncs either.
         CPPUNIT_ASSERT(testbed_.store().calls() < calls + 20);
     }
 
-    void test_a_list_with_unreadable_items_is_read()
+    void test_a_snapshot_with_malformed_items_is_read()
     {
         testbed_.store().put_unreadable(servers_topic);
         testbed_.store().put_unreadable("keyed.op");
-        put_entry("i-9", "[]");
+        put_record("i-9", "[]");
         testbed_.start();
         CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
-        read_lists_anew();
+        force_resync();
         testbed_.register_server(testbed_.first_server(), "draining");
         CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
     }
 
-    void test_odd_keys_do_not_stop_a_list_in_pages()
+    void test_unusual_keys_do_not_stop_paging()
     {
         testbed_.store().set_page_size(1);
         for (const char* key : {"a", "a b&from=1", "b%", "c\r\nd"})
-            put_entry(key, "{}");
+            put_record(key, "{}");
         testbed_.start();
-        read_lists_anew();
+        force_resync();
         testbed_.register_server(testbed_.first_server(), "draining");
         CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
     }
 
-    // The store's text for it sorts before the key itself.
-    void test_a_key_that_is_no_text_does_not_stop_a_list_in_pages()
+    // The store's text for this key sorts before the key itself.
+    void test_a_key_with_invalid_utf8_does_not_stop_paging()
     {
         testbed_.store().set_page_size(2);
         for (const char* key : {"a", "e\xff"})
-            put_entry(key, "{}");
+            put_record(key, "{}");
         testbed_.start();
-        read_lists_anew();
+        force_resync();
         testbed_.register_server(testbed_.first_server(), "draining");
         CPPUNIT_ASSERT(is_usable(testbed_.second_server()));
     }
 
-    void test_an_entry_of_an_unknown_service_is_harmless()
+    void test_a_server_of_an_unknown_service_is_harmless()
     {
         testbed_.start();
         std::string text = testbed_.first_server().record("ready", 90);
         text.replace(text.find("\"lm\""), 4, "\"no\"");
-        put_entry("i-9", text);
+        put_record("i-9", text);
         const placement::server_id id("i-9");
         testbed::wait_until("the entry", [this, &id] {
             return testbed_.run_on_host<bool>(
@@ -198,21 +201,21 @@
         CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
-    // Each entry that is written wakes the read of every other host.
-    void test_a_host_that_starts_again_writes_no_entry()
+    // Each written record ends the long poll of every other host.
+    void test_a_restarted_host_does_not_rewrite_its_record()
     {
         testbed::wait_until(
             "its entry", [this] { return testbed_.store().appends() == 1; });
         const unsigned calls = testbed_.store().calls();
         testbed_.restart_sources();
-        // It has read what is newest of all three topics, and goes on.
+        // It has read the newest records of all three topics and continues.
         testbed::wait_until("its reads", [this, calls] {
             return testbed_.store().calls() >= calls + 6;
         });
         CPPUNIT_ASSERT_EQUAL(1U, testbed_.store().appends());
     }
 
-    void test_refused_hosts_hide_no_other()
+    void test_malformed_host_records_do_not_hide_others()
     {
         testbed_.start();
         for (const char* text : {"", "no address", "10.1.2.3:0/x", "\xff/x"})
@@ -227,87 +230,89 @@
         });
     }
 
-    void test_a_server_begins_anew_under_its_id()
+    void test_a_restarted_server_replaces_its_earlier_incarnation()
     {
-        testbed_.first_server().restart(former_life);
+        testbed_.first_server().restart(earlier_start_ms);
         testbed_.start();
         testbed_.register_server(testbed_.first_server(), "ready");
-        const std::string late_word =
+        const std::string late_record =
             testbed_.first_server().record("draining", 900);
-        testbed_.first_server().restart(new_life);
-        put_entry(
+        testbed_.first_server().restart(later_start_ms);
+        put_record(
             testbed_.first_server().id(),
             testbed_.first_server().record("ready", 0));
-        wait_for_life(testbed_.first_server(), new_life);
+        wait_for_start_time(testbed_.first_server(), later_start_ms);
         CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
-        put_entry(testbed_.first_server().id(), late_word);
+        put_record(testbed_.first_server().id(), late_record);
         testbed_.register_server(testbed_.second_server(), "draining");
         CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
-        CPPUNIT_ASSERT_EQUAL(new_life, life_of(testbed_.first_server()));
+        CPPUNIT_ASSERT_EQUAL(
+            later_start_ms, start_time_of(testbed_.first_server()));
         CPPUNIT_ASSERT_EQUAL(200U, testbed_.call("POST", "/plain/").status);
     }
 
-    void test_a_server_that_left_begins_anew()
+    void test_a_drained_server_can_restart()
     {
-        testbed_.first_server().restart(former_life);
+        testbed_.first_server().restart(earlier_start_ms);
         testbed_.start();
         testbed_.register_server(testbed_.first_server(), "draining");
-        testbed_.first_server().restart(new_life);
-        put_entry(
+        testbed_.first_server().restart(later_start_ms);
+        put_record(
             testbed_.first_server().id(),
             testbed_.first_server().record("ready", 0));
-        wait_for_life(testbed_.first_server(), new_life);
+        wait_for_start_time(testbed_.first_server(), later_start_ms);
         CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
     }
 
-    void test_a_report_of_a_former_life_is_passed_over()
+    void test_a_report_of_an_earlier_incarnation_is_ignored()
     {
-        std::atomic<std::uint64_t> life = former_life;
-        testbed_.first_server().set_handler([&life](http::exchange& asked) {
-            return answer_with(
-                asked,
-                200,
-                R"({"state":"draining","sequence":900,"born":)" +
-                    std::to_string(life) + "}");
-        });
-        testbed_.first_server().restart(new_life);
+        std::atomic<std::uint64_t> start_ms = earlier_start_ms;
+        testbed_.first_server().set_handler(
+            [&start_ms](http::exchange& exchange) {
+                return respond_with(
+                    exchange,
+                    200,
+                    R"({"state":"draining","sequence":900,"born":)" +
+                        std::to_string(start_ms) + "}");
+            });
+        testbed_.first_server().restart(later_start_ms);
         testbed_.start();
         testbed::wait_until("reports", [this] {
             return testbed_.first_server().count("/api/report") > 1;
         });
         CPPUNIT_ASSERT(is_usable(testbed_.first_server()));
-        life = new_life;
+        start_ms = later_start_ms;
         testbed::wait_until(
             "leaving", [this] { return !is_usable(testbed_.first_server()); });
     }
 
-    // The stream's connection may outlive its server's listing for a while.
-    // The new life leaves; the stream of the former one is not its to move.
-    void test_a_former_life_is_asked_for_no_copy()
+    // The connection of a stream may outlive its server's record for a while.
+    // The new incarnation drains; it does not have the earlier one's stream.
+    void test_a_stream_of_an_earlier_incarnation_is_not_migrated()
     {
         std::atomic<bool> is_over = false;
         std::atomic<int> events = 0;
         std::atomic<int> copies = 0;
         testbed_.first_server().set_handler(
-            [&](http::exchange& asked) -> asio::awaitable<void> {
-                if (asked.received().target != "/stream/") {
+            [&](http::exchange& exchange) -> asio::awaitable<void> {
+                if (exchange.received().target != "/stream/") {
                     const bool is_copy =
-                        asked.received().target == "/api/kv-move";
+                        exchange.received().target == "/api/kv-move";
                     copies += is_copy ? 1 : 0;
-                    co_await answer_with(asked, is_copy ? 404 : 200, "{}");
+                    co_await respond_with(exchange, is_copy ? 404 : 200, "{}");
                     co_return;
                 }
                 const http::response head =
-                    fake_server::signed_response(asked, 200, "");
-                auto said = co_await asked.start_stream(200, head.fields);
-                while (said && !is_over) {
+                    fake_server::signed_response(exchange, 200, "");
+                auto sent = co_await exchange.start_stream(200, head.fields);
+                while (sent && !is_over) {
                     ++events;
-                    said = co_await asked.write_chunk(event(events));
-                    co_await sleep(asked, 3);
+                    sent = co_await exchange.write_chunk(event(events));
+                    co_await sleep(exchange, 3);
                 }
-                said = co_await asked.finish_stream();
+                sent = co_await exchange.finish_stream();
             });
-        testbed_.first_server().restart(former_life);
+        testbed_.first_server().restart(earlier_start_ms);
         testbed_.publish(1);
         testbed_.register_server(testbed_.first_server(), "ready");
         testbed::wait_until(
@@ -316,11 +321,11 @@
         std::thread caller([this, &answer] { answer = testbed_.try_stream(); });
         testbed::wait_until("events", [&events] { return events > 3; });
         testbed_.register_server(testbed_.second_server(), "ready");
-        testbed_.first_server().restart(new_life);
-        put_entry(
+        testbed_.first_server().restart(later_start_ms);
+        put_record(
             testbed_.first_server().id(),
             testbed_.first_server().record("ready", 0));
-        wait_for_life(testbed_.first_server(), new_life);
+        wait_for_start_time(testbed_.first_server(), later_start_ms);
         testbed_.register_server(testbed_.first_server(), "draining");
         const int before = events;
         testbed::wait_until(
@@ -333,6 +338,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(entries_world_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(topic_records_test);
 
 } // namespace
