--- a/tests/platform_adapter/crashing_requests_test.cpp
+++ b/tests/platform_adapter/crashing_requests_test.cpp
@@ -92,7 +92,7 @@
         testbed_.restart(testbed_.second_server());
     }
 
-    static std::optional<wire::message> no_table(const wire::pull& /*asked*/)
+    static std::optional<wire::message> no_table(const wire::pull& /*pull*/)
     {
         return std::nullopt;
     }
@@ -130,7 +130,7 @@
     {
         constexpr int repeats = 8;
         for (int repeat = 0; repeat < repeats; ++repeat) {
-            [[maybe_unused]] const auto answer =
+            [[maybe_unused]] const auto response =
                 testbed_.try_call(path, crashing_body);
             restart_servers();
         }
@@ -162,13 +162,13 @@
     {
         begin();
         repeat_crashing_request("/stream/");
-        const auto answer = testbed_.try_call("/stream/", crashing_body);
-        CPPUNIT_ASSERT(answer);
-        CPPUNIT_ASSERT_EQUAL(503U, answer->status);
-        CPPUNIT_ASSERT(!answer->fields.find("Retry-After"));
+        const auto response = testbed_.try_call("/stream/", crashing_body);
+        CPPUNIT_ASSERT(response);
+        CPPUNIT_ASSERT_EQUAL(503U, response->status);
+        CPPUNIT_ASSERT(!response->fields.find("Retry-After"));
         CPPUNIT_ASSERT_EQUAL(
             std::string(R"({"title":"quarantined","outcome":"not_run"})"),
-            answer->body);
+            response->body);
     }
 
     void test_other_requests_are_served_during_a_quarantine()
@@ -176,9 +176,9 @@
         begin();
         repeat_crashing_request("/stream/");
         for (const char* body : {"", "crasher", "other"}) {
-            const auto answer = testbed_.try_call("/stream/", body);
-            CPPUNIT_ASSERT(answer);
-            CPPUNIT_ASSERT_EQUAL(200U, answer->status);
+            const auto response = testbed_.try_call("/stream/", body);
+            CPPUNIT_ASSERT(response);
+            CPPUNIT_ASSERT_EQUAL(200U, response->status);
         }
         // The same body on another route is another request.
         [[maybe_unused]] const auto cut =
@@ -214,9 +214,9 @@
             CPPUNIT_ASSERT(!lost || lost->status == 502);
             restart_servers();
             is_crashing = false;
-            const auto answer = testbed_.try_call("/plain/", "probe");
-            CPPUNIT_ASSERT(answer);
-            CPPUNIT_ASSERT_EQUAL(200U, answer->status);
+            const auto response = testbed_.try_call("/plain/", "probe");
+            CPPUNIT_ASSERT(response);
+            CPPUNIT_ASSERT_EQUAL(200U, response->status);
         }
     }
 
@@ -356,9 +356,9 @@
         testbed::wait_until("the quarantine", [&restarted] {
             return quarantined_count(restarted) == 1;
         });
-        const auto answer = restarted.try_call("/stream/", crashing_body);
-        CPPUNIT_ASSERT(answer);
-        CPPUNIT_ASSERT_EQUAL(503U, answer->status);
+        const auto response = restarted.try_call("/stream/", crashing_body);
+        CPPUNIT_ASSERT(response);
+        CPPUNIT_ASSERT_EQUAL(503U, response->status);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{0},
             restarted.first_server().count("/stream/") +
--- a/tests/platform_adapter/fake_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -15,8 +15,8 @@
 namespace asio = boost::asio;
 
 fake_neighbours::fake_neighbours(
-    std::size_t count, const http::endpoint& host, pull_handler answer)
-    : work_(asio::make_work_guard(io_)), pull_handler_(std::move(answer))
+    std::size_t count, const http::endpoint& host, pull_handler handler)
+    : work_(asio::make_work_guard(io_)), pull_handler_(std::move(handler))
 {
     const asio::ip::tcp::endpoint address(
         asio::ip::make_address(host.address()), host.port());
@@ -85,8 +85,8 @@
     }
     if (pull == nullptr)
         return;
-    if (const auto answer = pull_handler_(*pull))
-        from->send(*answer);
+    if (const auto response = pull_handler_(*pull))
+        from->send(*response);
 }
 
 bool fake_neighbours::are_linked()
--- a/tests/platform_adapter/fake_neighbours.hpp
+++ b/tests/platform_adapter/fake_neighbours.hpp
@@ -30,7 +30,7 @@
 
     /// Connects `count` neighbours to `host`.
     fake_neighbours(
-        std::size_t count, const http::endpoint& host, pull_handler answer);
+        std::size_t count, const http::endpoint& host, pull_handler handler);
     ~fake_neighbours();
 
     fake_neighbours(const fake_neighbours&) = delete;
--- a/tests/platform_adapter/migration_test.cpp
+++ b/tests/platform_adapter/migration_test.cpp
@@ -23,14 +23,14 @@
     std::atomic<bool> stopped = false;
     std::atomic<int> sent = 0;
     unsigned last_copy_status = 200;
-    int refused_copies =
-        0; ///< The first so many fail, without capacity at the destination.
+    /// The first so many copies fail for lack of capacity at the destination.
+    int refused_copies = 0;
     int slow_copy_ms = 150;
     int slow_copies = 0; ///< The first so many take slow_copy_ms.
     int events = 1000;
     std::atomic<int> copies_before_last = 0;
-    std::function<void(int)>
-        on_running_copy; ///< Called with the copy's number.
+    /// Called with the copy's number.
+    std::function<void(int)> on_running_copy;
     std::atomic<int> copies = 0;
     bool crashes_after_copy = false;
 
@@ -143,8 +143,9 @@
         testbed_.register_server(testbed_.first_server(), "ready");
         testbed::wait_until(
             "readiness", [this] { return testbed_.is_ready(); });
-        std::optional<http::response> answer;
-        std::thread caller([this, &answer] { answer = testbed_.try_stream(); });
+        std::optional<http::response> response;
+        std::thread caller(
+            [this, &response] { response = testbed_.try_stream(); });
         testbed::wait_until("events", [&source] { return source.sent > 3; });
         testbed_.register_server(testbed_.second_server(), "ready");
         if (source_drains_later_)
@@ -157,12 +158,12 @@
         if (source_drains_ || source_drains_later_)
             testbed_.register_server(testbed_.first_server(), "draining");
         caller.join();
-        is_interrupted_ = !answer;
+        is_interrupted_ = !response;
         CPPUNIT_ASSERT_EQUAL(expects_interruption_, is_interrupted_);
-        answer_ = answer.value_or(http::response());
+        response_ = response.value_or(http::response());
     }
 
-    http::response answer_;
+    http::response response_;
     bool source_drains_ = true;
     bool source_drains_later_ = false;
     bool destination_leaves_zone_ =
@@ -175,8 +176,8 @@
         migrating_server source;
         migrating_server destination;
         migrate_while_streaming(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(
             testbed_.first_server().address() + "/c7", resumed_from());
         CPPUNIT_ASSERT_EQUAL(
@@ -191,8 +192,8 @@
         migrating_server destination;
         source.slow_copies = 2;
         migrate_while_streaming(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(3, source.copies_before_last.load());
     }
 
@@ -219,8 +220,8 @@
         migrating_server destination;
         source.last_copy_status = 503;
         migrate_while_streaming(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(source.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(source.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{2}, testbed_.first_server().count("/stream/"));
         CPPUNIT_ASSERT_EQUAL(
@@ -247,8 +248,8 @@
         migrating_server destination;
         source.crashes_after_copy = true;
         migrate_while_streaming(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(
             testbed_.first_server().address() + "/c7", resumed_from());
     }
@@ -283,8 +284,8 @@
         migrating_server source;
         migrating_server destination;
         return_to_home_zone(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(
             testbed_.first_server().address() + "/c7", resumed_from());
         CPPUNIT_ASSERT_EQUAL(
@@ -299,8 +300,8 @@
         source.refused_copies = 2;
         source_drains_later_ = true;
         return_to_home_zone(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.first_server().count("/stream/"));
     }
@@ -317,8 +318,8 @@
         source_drains_later_ = true;
         destination_leaves_zone_ = true;
         return_to_home_zone(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response_.body);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{1}, testbed_.second_server().count("/stream/"));
     }
@@ -330,8 +331,8 @@
         source.refused_copies = 1000;
         source.events = 400;
         return_to_home_zone(source, destination);
-        CPPUNIT_ASSERT_EQUAL(200U, answer_.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(400), answer_.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response_.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(400), response_.body);
         CPPUNIT_ASSERT(source.copies > 1);
         CPPUNIT_ASSERT_EQUAL(
             std::size_t{0}, testbed_.second_server().count("/stream/"));
@@ -375,17 +376,18 @@
         testbed_.register_server(testbed_.first_server(), "ready");
         testbed::wait_until(
             "readiness", [this] { return testbed_.is_ready(); });
-        http::response answer;
-        std::thread caller(
-            [this, &answer] { answer = testbed_.call("POST", "/stream/"); });
+        http::response response;
+        std::thread caller([this, &response] {
+            response = testbed_.call("POST", "/stream/");
+        });
         testbed::wait_until("events", [&source] { return source.sent > 3; });
         testbed_.register_server(testbed_.second_server(), "ready");
         if (is_store_unavailable)
             testbed_.store().set_status(503);
         is_draining = true;
         caller.join();
-        CPPUNIT_ASSERT_EQUAL(200U, answer.status);
-        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), answer.body);
+        CPPUNIT_ASSERT_EQUAL(200U, response.status);
+        CPPUNIT_ASSERT_EQUAL(events_until(destination.sent), response.body);
     }
 };
 
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -92,18 +92,18 @@
     {
         for (const host_model& host : hosts_) {
             if (host.used_after_removal)
-                return "a server that left is used again";
+                return "a removed server is used again";
             if (host.removed_while_running)
-                return "a living server is taken for gone";
+                return "a running server is removed";
         }
         server_model settled = *this;
         settled.settle();
         for (const host_model& host : settled.hosts_) {
             if (host.removed_while_running)
-                return "a living server is taken for gone in the end";
+                return "a running server is removed in the final state";
             if (host.is_usable() != (current_.state == record_state::ready))
-                return host.is_usable() ? "a server that left stays in use"
-                                        : "a living server is not used";
+                return host.is_usable() ? "a removed server stays usable"
+                                        : "a running server is not usable";
         }
         return {};
     }
--- a/tests/platform_adapter/restored_tables_model_test.cpp
+++ b/tests/platform_adapter/restored_tables_model_test.cpp
@@ -68,7 +68,7 @@
     {
         for (const host_model& host : hosts_) {
             if (host.reverted)
-                return "a host went back";
+                return "a host reverted to an older version";
         }
         table_model settled = *this;
         settled.settle();
--- a/tests/platform_adapter/server_limits_test.cpp
+++ b/tests/platform_adapter/server_limits_test.cpp
@@ -1,5 +1,5 @@
 // Guards against sending a backend server more requests than the limit in its
-// answers.
+// responses.
 
 #include "fake_neighbours.hpp"
 #include "stream_helpers.hpp"
@@ -38,7 +38,7 @@
 
     testbed testbed_;
 
-    static std::optional<wire::message> no_table(const wire::pull& /*asked*/)
+    static std::optional<wire::message> no_table(const wire::pull& /*pull*/)
     {
         return std::nullopt;
     }
--- a/tests/platform_adapter/table_pull_test.cpp
+++ b/tests/platform_adapter/table_pull_test.cpp
@@ -65,12 +65,11 @@
                 return std::nullopt;
             });
         others.announce_table_version(2);
-        testbed::wait_until("a question", [&others] {
-            return !others.pull_receivers().empty();
-        });
+        testbed::wait_until(
+            "a pull", [&others] { return !others.pull_receivers().empty(); });
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, others.pull_receivers().size());
-        testbed::wait_until("another question", [&others] {
+        testbed::wait_until("another pull", [&others] {
             return others.pull_receivers().size() > 1;
         });
         const auto receivers = others.pull_receivers();
@@ -78,12 +77,12 @@
     }
 
     static unsigned
-    status_after_announcement(fake_neighbours::pull_handler answer)
+    status_after_announcement(fake_neighbours::pull_handler handler)
     {
         testbed tested;
         tested.start_without_store();
         fake_neighbours others(
-            neighbours, tested.neighbours(), std::move(answer));
+            neighbours, tested.neighbours(), std::move(handler));
         others.announce_table_version(2);
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
         return tested.call("POST", "/plain/", "k2").status;
--- a/tests/platform_adapter/topic_records_test.cpp
+++ b/tests/platform_adapter/topic_records_test.cpp
@@ -75,7 +75,7 @@
 
     void wait_for_start_time(const fake_server& server, std::uint64_t start_ms)
     {
-        testbed::wait_until("the life " + std::to_string(start_ms), [&] {
+        testbed::wait_until("the start time " + std::to_string(start_ms), [&] {
             return start_time_of(server) == start_ms;
         });
     }
@@ -191,7 +191,7 @@
         text.replace(text.find("\"lm\""), 4, "\"no\"");
         put_record("i-9", text);
         const placement::server_id id("i-9");
-        testbed::wait_until("the entry", [this, &id] {
+        testbed::wait_until("the record", [this, &id] {
             return testbed_.run_on_host<bool>(
                 [&id](entry::entry_process& process) {
                     return process.context().directory.find(id) != nullptr;
@@ -205,7 +205,7 @@
     void test_a_restarted_host_does_not_rewrite_its_record()
     {
         testbed::wait_until(
-            "its entry", [this] { return testbed_.store().appends() == 1; });
+            "its record", [this] { return testbed_.store().appends() == 1; });
         const unsigned calls = testbed_.store().calls();
         testbed_.restart_sources();
         // It has read the newest records of all three topics and continues.
