--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -79,7 +79,7 @@
         });
         for (std::size_t host = 0; host < hosts; ++host) {
             made.add(!hosts_[host].reader.response, [host](auto& next) {
-                next.ask(host);
+                next.request(host);
             });
             made.add(
                 hosts_[host].reader.response.has_value(),
@@ -150,13 +150,12 @@
 
         [[nodiscard]] std::string key() const
         {
-            const auto* visited = directory.find(id());
+            const auto* known = directory.find(id());
             return reader.key() + (is_usable() ? "u" : "-") +
                    (was_removed ? "l" : "-") + (used_after_removal ? "!" : "") +
                    (removed_while_running ? "?" : "") +
                    (is_missing ? "p" : "") +
-                   (visited != nullptr ? std::to_string(visited->revision)
-                                       : "");
+                   (known != nullptr ? std::to_string(known->revision) : "");
         }
 
         bool is_missing = false; ///< The server's record is missing or deleted.
@@ -173,7 +172,7 @@
         return store_.log.empty() || !(store_.log.back() == current_);
     }
 
-    void ask(std::size_t host) { hosts_[host].reader.ask(store_); }
+    void request(std::size_t host) { hosts_[host].reader.request(store_); }
 
     void deliver(std::size_t at)
     {
@@ -212,10 +211,10 @@
     {
         const bool is_usable = host.is_usable();
         host.used_after_removal |= host.was_removed && is_usable;
-        const bool left = was_usable && !is_usable;
+        const bool is_removed = was_usable && !is_usable;
         host.removed_while_running |=
-            left && current_.state == record_state::ready;
-        host.was_removed |= left;
+            is_removed && current_.state == record_state::ready;
+        host.was_removed |= is_removed;
     }
 
     static placement::backend_server server_of(const server_record& record)
@@ -245,7 +244,7 @@
                 write(current_);
             for (std::size_t host = 0; host < hosts; ++host) {
                 if (!hosts_[host].reader.response)
-                    ask(host);
+                    request(host);
                 deliver(host);
                 const bool was_usable = hosts_[host].is_usable();
                 [[maybe_unused]] const auto expired =
--- a/tests/platform_adapter/restored_tables_model_test.cpp
+++ b/tests/platform_adapter/restored_tables_model_test.cpp
@@ -49,7 +49,7 @@
         });
         for (std::size_t host = 0; host < hosts; ++host) {
             made.add(!hosts_[host].reader.response, [host](auto& next) {
-                next.ask(host);
+                next.request(host);
             });
             made.add(
                 hosts_[host].reader.response.has_value(),
@@ -126,7 +126,7 @@
 
     void rewrite() { store_.log.push_back({newest_}); }
 
-    void ask(std::size_t host) { hosts_[host].reader.ask(store_); }
+    void request(std::size_t host) { hosts_[host].reader.request(store_); }
 
     void deliver(std::size_t host)
     {
@@ -177,7 +177,7 @@
         for (int round = 0; round < settling_rounds; ++round) {
             for (std::size_t host = 0; host < hosts; ++host) {
                 if (!hosts_[host].reader.response)
-                    ask(host);
+                    request(host);
                 deliver(host);
             }
         }
--- a/tests/platform_adapter/store_model.hpp
+++ b/tests/platform_adapter/store_model.hpp
@@ -74,7 +74,7 @@
     bool is_caught_up = false;
     std::optional<response_model<Record>> response;
 
-    void ask(const store_model<Record>& store)
+    void request(const store_model<Record>& store)
     {
         response_model<Record> made;
         made.epoch = store.epoch;
@@ -98,10 +98,10 @@
     {
         const response_model<Record> received = std::move(*response);
         response.reset();
-        const epoch_status sign =
+        const epoch_status status =
             epochs.observe(std::to_string(received.epoch));
         const bool is_usable =
-            sign == epoch_status::current || sign == epoch_status::restored;
+            status == epoch_status::current || status == epoch_status::restored;
         std::optional<std::uint64_t> end;
         if (is_usable && !received.is_expired)
             end = received.end;
