--- a/tests/platform_adapter/fake_neighbours.cpp
+++ b/tests/platform_adapter/fake_neighbours.cpp
@@ -1,6 +1,6 @@
 #include "fake_neighbours.hpp"
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <boost/asio/post.hpp>
 #include <boost/asio/use_future.hpp>
@@ -15,8 +15,8 @@
 namespace asio = boost::asio;
 
 fake_neighbours::fake_neighbours(
-    std::size_t count, const http::endpoint& host, pull_handler answer)
-    : work_(asio::make_work_guard(io_)), pull_handler_(std::move(answer))
+    std::size_t count, const http::endpoint& host, pull_handler handler)
+    : work_(asio::make_work_guard(io_)), pull_handler_(std::move(handler))
 {
     const asio::ip::tcp::endpoint address(
         asio::ip::make_address(host.address()), host.port());
@@ -37,8 +37,9 @@
     const std::string& name, const asio::ip::tcp::endpoint& host)
 {
     wire::link_handlers handlers;
-    handlers.on_message = [this, name](const auto& from, wire::message said) {
-        receive(name, from, said);
+    handlers.on_message = [this,
+                           name](const auto& from, wire::message message) {
+        receive(name, from, message);
     };
     const auto introduction = [name] {
         return wire::hello{
@@ -63,19 +64,20 @@
 void fake_neighbours::receive(
     const std::string& name,
     const std::shared_ptr<wire::link>& from,
-    const wire::message& said)
+    const wire::message& message)
 {
-    const bool is_table = std::holds_alternative<wire::table_changes>(said) ||
-                          std::holds_alternative<wire::table_document>(said);
-    const auto* pull = std::get_if<wire::pull>(&said);
-    const auto* crashes = std::get_if<wire::crash_reports>(&said);
-    const auto* limits = std::get_if<wire::server_limits>(&said);
+    const bool is_table =
+        std::holds_alternative<wire::table_changes>(message) ||
+        std::holds_alternative<wire::table_document>(message);
+    const auto* pull = std::get_if<wire::pull>(&message);
+    const auto* crashes = std::get_if<wire::crash_reports>(&message);
+    const auto* limits = std::get_if<wire::server_limits>(&message);
     {
         const std::lock_guard guard(mutex_);
         if (limits != nullptr)
             limits_.push_back(*limits);
         if (is_table)
-            table_messages_.push_back(said);
+            table_messages_.push_back(message);
         if (pull != nullptr)
             pull_receivers_.push_back(name);
         if (crashes != nullptr)
@@ -83,8 +85,8 @@
     }
     if (pull == nullptr)
         return;
-    if (const auto answer = pull_handler_(*pull))
-        from->send(*answer);
+    if (const auto response = pull_handler_(*pull))
+        from->send(*response);
 }
 
 bool fake_neighbours::are_linked()
@@ -106,12 +108,12 @@
     broadcast(wire::catalogue_position{version, 0});
 }
 
-void fake_neighbours::broadcast(const wire::message& said)
+void fake_neighbours::broadcast(const wire::message& message)
 {
     testbed::wait_until("links", [this] { return are_linked(); });
-    asio::post(io_, asio::use_future([this, &said] {
+    asio::post(io_, asio::use_future([this, &message] {
                    for (const auto& each : connectors_)
-                       each->send(said);
+                       each->send(message);
                }))
         .get();
 }
