--- a/libraries/wire/include/godwit/wire/acceptor.hpp
+++ b/libraries/wire/include/godwit/wire/acceptor.hpp
@@ -12,18 +12,18 @@
 
 namespace godwit::wire {
 
-/// Listens for links. Every member is called on the executor.
+/// Accepts links on a TCP endpoint. Call every member on the executor.
 class acceptor : public std::enable_shared_from_this<acceptor>
 {
 public:
     using hello_source = std::function<hello()>;
 
-    /// Links at one time unless the caller sets another bound.
+    /// Default bound on the number of links that are open at one time.
     static constexpr std::size_t default_link_limit = 256;
 
-    /// Listens on `endpoint`; port 0 takes a free one. Fails with
-    /// `unavailable` when the address cannot be had. At `link_limit` open
-    /// connections a further one is closed at once.
+    /// Listens on `endpoint`; with port 0 the system chooses a free port.
+    /// Fails with `unavailable` when the address cannot be bound. While
+    /// `link_limit` links are open, a new connection is closed at once.
     [[nodiscard]] static core::result<std::shared_ptr<acceptor>> create(
         const boost::asio::any_io_executor& executor,
         const boost::asio::ip::tcp::endpoint& endpoint,
@@ -32,13 +32,13 @@
         link_handlers handlers,
         std::size_t link_limit = default_link_limit);
 
-    /// Begins to accept.
+    /// Starts to accept connections.
     void start();
 
-    /// Stops listening and closes every link without another handler call.
+    /// Stops listening and closes every link. No handler is called any more.
     void stop();
 
-    /// The address listened on, with the port taken.
+    /// The local address, with the port that is bound.
     [[nodiscard]] const boost::asio::ip::tcp::endpoint&
     endpoint() const noexcept
     {
@@ -50,7 +50,7 @@
         return links_;
     }
 
-    /// Connections closed at the bound.
+    /// Number of connections closed because of `link_limit`.
     [[nodiscard]] std::uint64_t refused() const noexcept { return refused_; }
 
 private:
@@ -62,9 +62,9 @@
         std::size_t link_limit);
 
     void accept();
-    void accepted(boost::asio::ip::tcp::socket socket);
-    void pause();
-    [[nodiscard]] link_handlers watch_link();
+    void on_accepted(boost::asio::ip::tcp::socket socket);
+    void retry_later();
+    [[nodiscard]] link_handlers make_handlers();
 
     boost::asio::ip::tcp::acceptor listener_;
     core::timer timer_;
--- a/libraries/wire/include/godwit/wire/backend_server.hpp
+++ b/libraries/wire/include/godwit/wire/backend_server.hpp
@@ -6,7 +6,7 @@
 
 namespace godwit::wire {
 
-/// One backend server, as the agent sees it.
+/// A backend server and its state as the agent knows it.
 struct backend_server
 {
     core::server_address address;
--- a/libraries/wire/include/godwit/wire/backend_servers.hpp
+++ b/libraries/wire/include/godwit/wire/backend_servers.hpp
@@ -8,15 +8,16 @@
 
 namespace godwit::wire {
 
-/// The view of the backend servers, or a change to it.
+/// The list of backend servers, or a change to it.
 struct backend_servers
 {
-    /// Whether `servers` replaces the view; else it is merged by address.
+    /// Whether `servers` replaces the list; otherwise it is merged into it by
+    /// address.
     bool whole = false;
     std::vector<backend_server> servers;
     std::vector<core::server_address> removed;
-    /// Entry hosts that send to these servers, where that changed or the view
-    /// is whole; 0 if it is not known or as before.
+    /// Number of entry hosts that send to these servers, set if it changed or
+    /// the list is complete; 0 if it is unknown or unchanged.
     std::uint32_t entry_hosts = 0;
 
     friend bool
--- a/libraries/wire/include/godwit/wire/backoff.hpp
+++ b/libraries/wire/include/godwit/wire/backoff.hpp
@@ -16,10 +16,10 @@
         : options_(options), random_(seed), ceiling_(options.initial_delay)
     {}
 
-    /// The wait before the next try.
+    /// Returns the delay before the next attempt.
     [[nodiscard]] core::duration next() noexcept;
 
-    /// Called after a success: the next wait is short again.
+    /// Returns to the initial delay; called after a success.
     void reset() noexcept { ceiling_ = options_.initial_delay; }
 
 private:
--- a/libraries/wire/include/godwit/wire/backoff_options.hpp
+++ b/libraries/wire/include/godwit/wire/backoff_options.hpp
@@ -4,9 +4,9 @@
 
 namespace godwit::wire {
 
-/// Waits between tries: doubled from `initial_delay` up to `max_delay`, each
-/// drawn evenly from its upper half so that many clients do not come back
-/// together.
+/// Delays between attempts: doubled from `initial_delay` up to `max_delay`,
+/// each drawn uniformly from its upper half so that many clients do not retry
+/// at the same moment.
 struct backoff_options
 {
     core::duration initial_delay = std::chrono::milliseconds(50);
--- a/libraries/wire/include/godwit/wire/catalogue_change.hpp
+++ b/libraries/wire/include/godwit/wire/catalogue_change.hpp
@@ -5,18 +5,18 @@
 
 namespace godwit::wire {
 
-/// The log's record at `offset`. Only a receiver whose catalogue ends right
-/// before it may apply it; any other sends its `catalogue_position` and gets a
-/// snapshot.
+/// The log record at `offset`. A receiver may apply it only if its catalogue
+/// ends directly before it; any other receiver sends its `catalogue_position`
+/// and gets a snapshot.
 struct catalogue_change
 {
     std::uint64_t offset = 0;
-    /// The log's own time of the append, in milliseconds.
+    /// Time of the append by the log's clock, in milliseconds.
     std::uint64_t time_ms = 0;
-    /// The hash of the catalogue after the record; 0 when only a later
-    /// change carries one.
+    /// Hash of the catalogue after the record; 0 if only a later change
+    /// carries one.
     std::uint64_t hash = 0;
-    /// The record as it stands on the log.
+    /// The record as stored in the log.
     std::string record;
 
     friend bool
--- a/libraries/wire/include/godwit/wire/catalogue_position.hpp
+++ b/libraries/wire/include/godwit/wire/catalogue_position.hpp
@@ -4,11 +4,11 @@
 
 namespace godwit::wire {
 
-/// The catalogue that the sender has in force. A proxy sends it first, with 0
-/// for none, and after each change.
+/// The version of the catalogue that the sender uses. A proxy sends it when the
+/// link opens, with 0 if it has no catalogue, and after each change.
 struct catalogue_position
 {
-    /// Every record below it is folded.
+    /// Every record below this offset is applied.
     std::uint64_t next_offset = 0;
     std::uint64_t hash = 0;
 
--- a/libraries/wire/include/godwit/wire/catalogue_snapshot.hpp
+++ b/libraries/wire/include/godwit/wire/catalogue_snapshot.hpp
@@ -5,21 +5,21 @@
 
 namespace godwit::wire {
 
-/// One record of a checkpoint of the catalogue before `next_offset`, as
-/// `catalogue::write_checkpoint` makes them. The records of one snapshot are
-/// sent in order, with nothing of another snapshot between them.
+/// One chunk of a checkpoint of the catalogue before `next_offset`, a record
+/// written by `catalogue::write_checkpoint`. The chunks of a snapshot are sent
+/// in order and are not interleaved with those of another snapshot.
 struct catalogue_snapshot
 {
-    /// Every record of the log below this offset is folded.
+    /// Every record of the log below this offset is applied.
     std::uint64_t next_offset = 0;
-    /// The hash of the whole catalogue.
+    /// Hash of the whole catalogue.
     std::uint64_t hash = 0;
     std::uint32_t chunk_index = 0;
     std::uint32_t chunk_count = 1;
     std::string content;
-    /// The state offset of the newest checkpoint on the log; 0 is none.
+    /// State offset of the newest checkpoint in the log; 0 if there is none.
     std::uint64_t checkpoint_offset = 0;
-    /// The log's own time of that checkpoint; 0 if not known.
+    /// Time of that checkpoint by the log's clock; 0 if unknown.
     std::uint64_t checkpoint_time_ms = 0;
 
     friend bool
--- a/libraries/wire/include/godwit/wire/cell_work.hpp
+++ b/libraries/wire/include/godwit/wire/cell_work.hpp
@@ -7,12 +7,12 @@
 
 namespace godwit::wire {
 
-/// What all entry hosts of the sender's cell have at work, server by server.
+/// The load that all entry hosts of the sender's cell have on each server.
 struct cell_work
 {
     std::string cell; ///< The cell's name.
-    /// Whether servers that are not named have no work of the cell. Otherwise
-    /// they are as they were told before.
+    /// Whether servers that are not listed have no load from the cell.
+    /// Otherwise their load is as reported before.
     bool is_whole = false;
     std::vector<server_work> work;
 
--- a/libraries/wire/include/godwit/wire/claim_finished.hpp
+++ b/libraries/wire/include/godwit/wire/claim_finished.hpp
@@ -8,7 +8,7 @@
 
 namespace godwit::wire {
 
-/// The run under the won claim at this position ended.
+/// The request that ran under the won claim at this position ended.
 struct claim_finished
 {
     std::string key;
--- a/libraries/wire/include/godwit/wire/claim_forward.hpp
+++ b/libraries/wire/include/godwit/wire/claim_forward.hpp
@@ -5,8 +5,8 @@
 
 namespace godwit::wire {
 
-/// A record of the claims stream, for the agent of the zone that batches the
-/// appends of its keys.
+/// A record for the claims stream, sent to the agent of the zone that batches
+/// the appends for its key.
 struct claim_forward
 {
     std::uint64_t correlation = 0;
--- a/libraries/wire/include/godwit/wire/claim_forward_answer.hpp
+++ b/libraries/wire/include/godwit/wire/claim_forward_answer.hpp
@@ -4,7 +4,8 @@
 
 namespace godwit::wire {
 
-/// Whether the agent took a `claim_forward`; it says nothing of the log.
+/// Whether the agent accepted a `claim_forward`. It does not mean that the
+/// record was appended to the log.
 struct claim_forward_answer
 {
     std::uint64_t correlation = 0;
--- a/libraries/wire/include/godwit/wire/claim_holder.hpp
+++ b/libraries/wire/include/godwit/wire/claim_holder.hpp
@@ -6,12 +6,12 @@
 
 namespace godwit::wire {
 
-/// Who may run a claimed request: one run of one proxy.
+/// The proxy process that may run a claimed request.
 struct claim_holder
 {
     core::host_name host;
     core::incarnation_id incarnation;
-    /// Where other proxies reach it, as "IP:port".
+    /// Address for other proxies, as "IP:port".
     std::string peer_address;
 
     friend bool operator==(const claim_holder&, const claim_holder&) = default;
--- a/libraries/wire/include/godwit/wire/claim_release.hpp
+++ b/libraries/wire/include/godwit/wire/claim_release.hpp
@@ -5,8 +5,8 @@
 
 namespace godwit::wire {
 
-/// The proxy gives up the claim at this position: nothing began under it and
-/// nothing will.
+/// The proxy releases the claim at this position: no request ran under it, and
+/// none will.
 struct claim_release
 {
     std::string key;
--- a/libraries/wire/include/godwit/wire/claim_request.hpp
+++ b/libraries/wire/include/godwit/wire/claim_request.hpp
@@ -7,14 +7,14 @@
 
 namespace godwit::wire {
 
-/// A proxy asks its agent whether it may run a request.
+/// Asks the proxy's agent for permission to run a request.
 struct claim_request
 {
-    /// The proxy's number for it; the answer carries it.
+    /// Correlation number, chosen by the proxy and returned in the response.
     std::uint64_t ask = 0;
-    /// Organisation and idempotency key, hashed.
+    /// Hash of the organisation and the idempotency key.
     std::string key;
-    /// What the request asks for, hashed.
+    /// Hash of the request's content.
     std::string fingerprint;
     claim_holder holder;
 
--- a/libraries/wire/include/godwit/wire/claim_verdict.hpp
+++ b/libraries/wire/include/godwit/wire/claim_verdict.hpp
@@ -4,15 +4,15 @@
 
 namespace godwit::wire {
 
-/// What became of a claim.
+/// The result of a claim.
 enum class claim_verdict : std::uint8_t
 {
-    won,            ///< The asker, and nobody else, may run the request.
+    won,            ///< Only the claiming proxy may run the request.
     held,           ///< Another holder has the key.
-    finished,       ///< The request ran and ended.
-    unavailable,    ///< Not settled: it did not run under this ask.
+    finished,       ///< The request already ran and ended.
+    unavailable,    ///< Not decided; nothing ran under this claim.
     outside_window, ///< The key is older than the deduplication window.
-    key_reused,     ///< The key belongs to another request.
+    key_reused,     ///< The key was used for a different request.
 };
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/claim_withdrawal.hpp
+++ b/libraries/wire/include/godwit/wire/claim_withdrawal.hpp
@@ -5,7 +5,7 @@
 
 namespace godwit::wire {
 
-/// The proxy no longer waits for an ask; no answer comes.
+/// Cancels a `claim_request`; the agent sends no response.
 struct claim_withdrawal
 {
     std::uint64_t ask = 0;
--- a/libraries/wire/include/godwit/wire/codec.hpp
+++ b/libraries/wire/include/godwit/wire/codec.hpp
@@ -8,12 +8,12 @@
 
 namespace godwit::wire {
 
-/// The body of the frame that carries `value`, without its length.
+/// Returns the frame body for `value`, without the length prefix.
 [[nodiscard]] std::string encode(const message& value);
 
-/// The message in a frame's body. The body is verified before use; fails
-/// with `protocol` when it is no valid frame of this version. What is copied
-/// out of it is never larger than the body itself.
+/// Decodes a frame body, which is verified first. Fails with `protocol` if it
+/// is not a valid frame of this version. Copies at most as many bytes out of
+/// the body as it has.
 [[nodiscard]] core::result<message> decode(std::string_view body);
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/connector.hpp
+++ b/libraries/wire/include/godwit/wire/connector.hpp
@@ -11,17 +11,18 @@
 
 namespace godwit::wire {
 
-/// Keeps one link to an address: connects, and connects again with jittered
-/// backoff whenever the link is gone. Every member is called on the executor.
+/// Maintains one link to an address and reconnects with jittered backoff
+/// whenever it closes. Call every member on the executor.
 class connector : public std::enable_shared_from_this<connector>
 {
 public:
-    /// Our introduction, asked for anew at each connection.
+    /// Makes this process's hello, once for each connection.
     using hello_source = std::function<hello()>;
 
-    /// Fails with `invalid_input` on options out of range. The handlers see
-    /// each link in turn; their `on_close` also hears of failed connections
-    /// of an opened socket, not of refused connections.
+    /// Fails with `invalid_input` on options out of range. The handlers are
+    /// called for each successive link. `on_close` is also called for a
+    /// connection that fails before its link opens, but not for one that is
+    /// refused.
     [[nodiscard]] static core::result<std::shared_ptr<connector>> create(
         boost::asio::any_io_executor executor,
         boost::asio::ip::tcp::endpoint endpoint,
@@ -31,16 +32,16 @@
         std::uint64_t seed,
         const backoff_options& waits = {});
 
-    /// Begins to connect.
+    /// Starts to connect.
     void start();
 
-    /// Closes the link without another call of a handler and stops.
+    /// Closes the link and stops. No handler is called any more.
     void stop();
 
-    /// Sends on the link, if it is open; false when it is not.
+    /// Sends on the link; returns false if it is not open.
     bool send(const message& value);
 
-    /// The open link, or null.
+    /// Returns the open link, or null.
     [[nodiscard]] std::shared_ptr<link> current() const noexcept;
 
     [[nodiscard]] const boost::asio::ip::tcp::endpoint&
@@ -49,7 +50,7 @@
         return endpoint_;
     }
 
-    /// Connections that were refused or timed out since the last open link.
+    /// Number of connection attempts that failed since a link was last open.
     [[nodiscard]] std::uint64_t failures() const noexcept { return failures_; }
 
 private:
@@ -63,9 +64,9 @@
         const backoff_options& waits);
 
     void connect();
-    void connected();
+    void on_connected();
     void retry();
-    [[nodiscard]] link_handlers watch_link();
+    [[nodiscard]] link_handlers make_handlers();
 
     boost::asio::ip::tcp::endpoint endpoint_;
     link_options options_;
--- a/libraries/wire/include/godwit/wire/crash_reports.hpp
+++ b/libraries/wire/include/godwit/wire/crash_reports.hpp
@@ -13,7 +13,7 @@
 {
     std::string server;
     std::uint64_t started_at_ms = 0; ///< 0 if unknown.
-    std::uint32_t age_ms = 0;        ///< Time since the run was lost.
+    std::uint32_t age_ms = 0;        ///< Time since the run failed.
 
     friend bool operator==(const server_crash&, const server_crash&) = default;
 };
@@ -28,7 +28,7 @@
     friend bool operator==(const crash_report&, const crash_report&) = default;
 };
 
-/// Changes to the crashes recorded per request.
+/// Changes to the crashes that are recorded per request.
 struct crash_reports
 {
     std::vector<crash_report> reports;
--- a/libraries/wire/include/godwit/wire/duty_message.hpp
+++ b/libraries/wire/include/godwit/wire/duty_message.hpp
@@ -5,7 +5,8 @@
 
 namespace godwit::wire {
 
-/// A duty's own message; the duty defines kind and body.
+/// A message between the instances of one duty (a task of the agent) on
+/// different hosts; the duty defines kind and body.
 struct duty_message
 {
     std::string duty;
--- a/libraries/wire/include/godwit/wire/frame_decoder.hpp
+++ b/libraries/wire/include/godwit/wire/frame_decoder.hpp
@@ -11,26 +11,26 @@
 
 namespace godwit::wire {
 
-/// Takes a connection's bytes as they come and yields its messages. It holds
-/// at most one incomplete frame and what one `feed` brought. After an error
-/// the byte stream has no known frame boundary: the connection must be
-/// closed, and each further call fails in the same way.
+/// Splits a connection's byte stream into messages. It buffers at most one
+/// incomplete frame and the bytes of one `feed`. After an error the frame
+/// boundaries are unknown: the connection must be closed, and each further call
+/// fails in the same way.
 class frame_decoder
 {
 public:
-    /// `limit` is the largest accepted body, in bytes; fails with
-    /// `invalid_input` when it is 0 or does not fit into the length.
+    /// `limit` is the largest accepted body, in bytes. Fails with
+    /// `invalid_input` if it is 0 or does not fit into the length prefix.
     [[nodiscard]] static core::result<frame_decoder>
     create(std::size_t limit = default_frame_limit);
 
-    /// Adds bytes that arrived.
+    /// Appends received bytes.
     void feed(std::string_view bytes);
 
-    /// The next whole message, or nothing while one is incomplete. Fails with
-    /// `protocol` on a frame that is empty, too large, or not valid.
+    /// Returns the next message, or nothing while its frame is incomplete.
+    /// Fails with `protocol` on a frame that is empty, too large or not valid.
     [[nodiscard]] core::result<std::optional<message>> next();
 
-    /// Bytes that are held and not yet part of a yielded message.
+    /// Buffered bytes that are not yet part of a returned message.
     [[nodiscard]] std::size_t buffered() const noexcept
     {
         return buffer_.size() - consumed_;
--- a/libraries/wire/include/godwit/wire/frame_encoder.hpp
+++ b/libraries/wire/include/godwit/wire/frame_encoder.hpp
@@ -9,18 +9,18 @@
 
 namespace godwit::wire {
 
-/// Turns messages into frames: a 4-byte little-endian length and a verified
-/// FlatBuffers body.
+/// Encodes messages as frames: a 4-byte little-endian length and a FlatBuffers
+/// body that the receiver can verify.
 class frame_encoder
 {
 public:
-    /// `limit` is the largest body in bytes that the peer accepts; fails with
-    /// `invalid_input` when it is 0 or does not fit into the length.
+    /// `limit` is the largest body that the peer accepts, in bytes. Fails with
+    /// `invalid_input` if it is 0 or does not fit into the length prefix.
     [[nodiscard]] static core::result<frame_encoder>
     create(std::size_t limit = default_frame_limit);
 
-    /// The frame that carries `value`; fails with `exhausted` when its body
-    /// is larger than the limit.
+    /// Returns the frame for `value`. Fails with `exhausted` if its body is
+    /// larger than the limit.
     [[nodiscard]] core::result<std::string> encode(const message& value) const;
 
 private:
--- a/libraries/wire/include/godwit/wire/heartbeat.hpp
+++ b/libraries/wire/include/godwit/wire/heartbeat.hpp
@@ -2,7 +2,7 @@
 
 namespace godwit::wire {
 
-/// Keeps a quiet link from being taken for a dead one.
+/// Sent on an idle link so that the peer does not close it as dead.
 struct heartbeat
 {
     friend bool operator==(const heartbeat&, const heartbeat&) = default;
--- a/libraries/wire/include/godwit/wire/hello.hpp
+++ b/libraries/wire/include/godwit/wire/hello.hpp
@@ -17,8 +17,8 @@
     core::host_name host;
     core::zone_name zone;
     core::incarnation_id incarnation;
-    /// Where the sender is reached by others, as "IP:port"; a proxy names its
-    /// callers' address, an agent its frames' address. May be empty.
+    /// Address of the sender for other processes, as "IP:port": of a proxy the
+    /// one for callers, of an agent the one for links. May be empty.
     std::string address;
     /// Number of message kinds that the sender can read; 0 from releases that
     /// do not send this field.
--- a/libraries/wire/include/godwit/wire/host_work.hpp
+++ b/libraries/wire/include/godwit/wire/host_work.hpp
@@ -6,29 +6,29 @@
 
 namespace godwit::wire {
 
-/// What one entry host has at work at one run of a backend server.
+/// The load that one entry host has on one process of a backend server.
 struct server_work
 {
-    std::string server; ///< The id of the run.
+    std::string server; ///< Id of the server process.
     std::uint32_t requests = 0;
-    std::uint64_t tokens = 0;        ///< Memory at the requests' ends.
-    std::uint64_t unread_tokens = 0; ///< Of prompts.
-    /// Memory of generations that is being copied to the server.
+    std::uint64_t tokens = 0;        ///< KV cache size at the requests' ends.
+    std::uint64_t unread_tokens = 0; ///< Prompt tokens before prefill.
+    /// Size of the KV caches that are being copied to the server.
     std::uint64_t arriving_tokens = 0;
-    std::uint32_t paced_streams = 0; ///< Whose events have a known gap.
-    std::uint32_t gap_ms = 0;        ///< The sum of these gaps.
+    std::uint32_t paced_streams = 0; ///< Streams with a known event gap.
+    std::uint32_t gap_ms = 0;        ///< Sum of these gaps.
 
     friend bool operator==(const server_work&, const server_work&) = default;
 };
 
-/// All that one entry host has at work; replaces what it said before.
+/// Load report of one entry host; replaces its previous one.
 struct host_work
 {
     std::vector<server_work> work;
-    /// Whether the sender reads the list of servers at its source now.
+    /// Whether the sender currently reads the list of servers at its source.
     bool reads_list = false;
-    /// The first host by name that is known to read the list, and how long
-    /// ago it said so; empty if none is known.
+    /// The first host by name that is known to read the list, and the age of
+    /// its report; empty if none is known.
     std::string reader;
     std::uint32_t reader_age_ms = 0;
 
--- a/libraries/wire/include/godwit/wire/link.hpp
+++ b/libraries/wire/include/godwit/wire/link.hpp
@@ -18,16 +18,16 @@
 
 namespace godwit::wire {
 
-/// One connection between two of our processes: hello in both directions,
-/// then messages. Every member is called on the socket's executor, which runs
+/// A connection between two godwitworks processes: a hello in each direction,
+/// then messages. Call every member on the socket's executor, which must run
 /// one handler at a time.
 class link : public std::enable_shared_from_this<link>
 {
 public:
     using socket_type = boost::asio::ip::tcp::socket;
 
-    /// A link over the connected `socket`, which introduces itself with
-    /// `self`. Nothing happens before `start`. Fails with `invalid_input` on
+    /// Makes a link over the connected `socket` with `self` as its hello.
+    /// Nothing is sent or read before `start`. Fails with `invalid_input` on
     /// options out of range.
     [[nodiscard]] static core::result<std::shared_ptr<link>> create(
         socket_type socket,
@@ -35,22 +35,24 @@
         hello self,
         link_handlers handlers);
 
-    /// Sends our hello and begins to read.
+    /// Sends the hello and starts to read.
     void start();
 
-    /// Queues a message. At the queue's bound, and for a message over the
-    /// frame limit, the link closes with `exhausted`. A closed link drops it.
+    /// Queues a message. If the queue is full or the message exceeds the frame
+    /// limit, the link closes with `exhausted`. A closed link drops it, and so
+    /// does one whose peer cannot read this kind of message.
     void send(const message& value);
 
-    /// Closes the link; `on_close` gets `reason`. What is queued is dropped.
+    /// Closes the link and calls `on_close` with `reason`. Drops queued
+    /// messages.
     void close(const core::error& reason);
 
-    /// Closes without another call of any handler.
+    /// Closes the link without calling a handler.
     void abandon();
 
     [[nodiscard]] bool is_open() const noexcept { return peer_ && !closed_; }
 
-    /// The peer's hello; only while or after it was open.
+    /// The peer's hello, if the link is or was open.
     [[nodiscard]] const std::optional<hello>& peer() const noexcept
     {
         return peer_;
@@ -61,7 +63,7 @@
         return counters_;
     }
 
-    /// Bytes that wait to be sent or are being sent.
+    /// Bytes that are queued or being sent.
     [[nodiscard]] std::size_t queued() const noexcept
     {
         return pending_.size() + in_flight_.size();
@@ -79,13 +81,13 @@
         frame_decoder decoder);
 
     void read();
-    void take(std::size_t size);
+    void on_received(std::size_t size);
     [[nodiscard]] bool dispatch(message value);
-    [[nodiscard]] bool open(const hello& peer);
+    [[nodiscard]] bool on_hello(const hello& peer);
     void write();
     void tick();
     void check_times(core::time_point now);
-    void shut();
+    void close_socket();
 
     socket_type socket_;
     core::timer timer_;
--- a/libraries/wire/include/godwit/wire/link_counters.hpp
+++ b/libraries/wire/include/godwit/wire/link_counters.hpp
@@ -4,7 +4,7 @@
 
 namespace godwit::wire {
 
-/// What went over one link, frame lengths included.
+/// Traffic of one link; bytes include the frames' length prefixes.
 struct link_counters
 {
     std::uint64_t bytes_sent = 0;
--- a/libraries/wire/include/godwit/wire/link_handlers.hpp
+++ b/libraries/wire/include/godwit/wire/link_handlers.hpp
@@ -11,16 +11,16 @@
 
 class link;
 
-/// What a link tells its owner, on the link's executor. Any may be empty.
+/// Callbacks of a link, called on its executor. Any may be empty.
 struct link_handlers
 {
-    /// The peer's hello came and its version is ours. Called once.
+    /// The peer sent its hello, with the same protocol version. Called once.
     std::function<void(const std::shared_ptr<link>&, const hello&)> on_open;
 
-    /// A message other than hello and heartbeat, after `on_open`.
+    /// A message other than hello and heartbeat arrived, after `on_open`.
     std::function<void(const std::shared_ptr<link>&, message)> on_message;
 
-    /// The link closed for the reason given; the last call. Also called for a
+    /// The link closed for the given reason; the last call. Also called for a
     /// link that never opened.
     std::function<void(const std::shared_ptr<link>&, const core::error&)>
         on_close;
--- a/libraries/wire/include/godwit/wire/listed_servers.hpp
+++ b/libraries/wire/include/godwit/wire/listed_servers.hpp
@@ -9,24 +9,25 @@
 
 namespace godwit::wire {
 
-/// One life of a backend server, as the list of servers shows it.
+/// An entry of the list of servers: one incarnation of a backend server, from
+/// one start of its process to the end.
 struct listed_server
 {
-    std::string id; ///< A server may start anew under it.
+    std::string id; ///< A restarted server may keep it.
     core::server_address address;
     core::zone_name zone;
     core::service_name service;
-    std::uint32_t slots = 0; ///< Requests that it works on at one time.
+    std::uint32_t slots = 0; ///< Number of concurrent requests.
     server_state state = server_state::live;
-    std::uint64_t revision = 0; ///< Rises with each report of this life.
-    /// When this life began, in Unix milliseconds; 0 is not known.
+    std::uint64_t revision = 0; ///< Rises with each report until a restart.
+    /// Start time in Unix milliseconds; 0 if unknown.
     std::uint64_t started_at_ms = 0;
 
     friend bool
     operator==(const listed_server&, const listed_server&) = default;
 };
 
-/// Servers of the list: all of them on a new link, then what changes.
+/// Entries of the list of servers: all on a new link, then those that change.
 struct listed_servers
 {
     std::vector<listed_server> servers;
--- a/libraries/wire/include/godwit/wire/log_record.hpp
+++ b/libraries/wire/include/godwit/wire/log_record.hpp
@@ -5,11 +5,11 @@
 
 namespace godwit::wire {
 
-/// One record of the catalogue's stream.
+/// A record of the catalogue's stream in the log.
 struct log_record
 {
     std::uint64_t offset = 0;
-    /// The log's own time of the append, in milliseconds.
+    /// Time of the append by the log's clock, in milliseconds.
     std::uint64_t time_ms = 0;
     std::string body;
 
--- a/libraries/wire/include/godwit/wire/message.hpp
+++ b/libraries/wire/include/godwit/wire/message.hpp
@@ -32,9 +32,8 @@
 
 namespace godwit::wire {
 
-/// Everything that the system's own processes say to each other. New kinds are
-/// appended only: `hello::message_kinds` counts the kinds that a peer can read
-/// from the start of this list.
+/// Any message between the system's own processes. New kinds are only appended:
+/// a peer can read the first `hello::message_kinds` alternatives.
 using message = std::variant<
     hello,
     heartbeat,
@@ -63,7 +62,7 @@
     crash_reports,
     server_limits>;
 
-/// The name of the message's type, for logs and metrics.
+/// Returns the name of the message's type, for logs and metrics.
 [[nodiscard]] std::string_view name_of(const message& value) noexcept;
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/peer_role.hpp
+++ b/libraries/wire/include/godwit/wire/peer_role.hpp
@@ -4,13 +4,13 @@
 
 namespace godwit::wire {
 
-/// What the process at the other end of a link is.
+/// The kind of process that a peer is.
 enum class peer_role : std::uint8_t
 {
-    agent, ///< An agent of an entry host.
-    proxy, ///< A proxy, at its own agent.
-    tool,  ///< A program of an operator or a test.
-    entry, ///< An entry host of one process.
+    agent, ///< The agent of an entry host.
+    proxy, ///< A proxy, linked to the agent of its host.
+    tool,  ///< An operator's tool or a test.
+    entry, ///< An entry host that runs as a single process.
 };
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/pull.hpp
+++ b/libraries/wire/include/godwit/wire/pull.hpp
@@ -5,14 +5,14 @@
 
 namespace godwit::wire {
 
-/// Asks a peer for every record from `next_offset` on; between entry hosts,
-/// for the route table of that version or a newer one.
+/// Requests every record from `next_offset` on from a peer; between entry
+/// hosts, the route table of version `next_offset` or newer.
 struct pull
 {
     std::uint64_t next_offset = 0;
-    /// The digest of the asker's table; empty for none.
+    /// Digest of the sender's route table; empty if it has none.
     std::string base = {};
-    bool takes_changes = false; ///< Whether it understands `table_changes`.
+    bool takes_changes = false; ///< Whether it can read `table_changes`.
 
     friend bool operator==(const pull&, const pull&) = default;
 };
--- a/libraries/wire/include/godwit/wire/records.hpp
+++ b/libraries/wire/include/godwit/wire/records.hpp
@@ -7,12 +7,12 @@
 
 namespace godwit::wire {
 
-/// The answer to a pull: consecutive records of the catalogue's stream, in log
+/// Response to a pull: consecutive records of the catalogue's stream, in log
 /// order.
 struct records
 {
     std::vector<log_record> entries;
-    /// The hash of the sender's catalogue after the last of them.
+    /// Hash of the sender's catalogue after the last record.
     std::uint64_t end_hash = 0;
 
     friend bool operator==(const records&, const records&) = default;
--- a/libraries/wire/include/godwit/wire/server_kind.hpp
+++ b/libraries/wire/include/godwit/wire/server_kind.hpp
@@ -4,11 +4,11 @@
 
 namespace godwit::wire {
 
-/// What a backend server is.
+/// The kind of a backend server.
 enum class server_kind : std::uint8_t
 {
-    engine, ///< A model engine: batches, streams, resumes.
-    plain,  ///< A plain service: one answer a call.
+    engine, ///< A model engine: batches, streams and resumes generations.
+    plain,  ///< A plain service: one response per call.
 };
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/server_limits.hpp
+++ b/libraries/wire/include/godwit/wire/server_limits.hpp
@@ -13,8 +13,8 @@
     std::string server;
     std::uint64_t started_at_ms = 0; ///< 0 if unknown.
     bool limited = false;            ///< Whether the server has a limit.
-    double per_second = 0;           ///< From all hosts together.
-    std::uint32_t age_ms = 0;        ///< Time since the server's answer.
+    double per_second = 0;           ///< Requests from all hosts together.
+    std::uint32_t age_ms = 0;        ///< Time since the server's response.
     std::uint32_t sends = 0;         ///< Requests since the previous message.
 
     friend bool operator==(const server_limit&, const server_limit&) = default;
--- a/libraries/wire/include/godwit/wire/server_sign.hpp
+++ b/libraries/wire/include/godwit/wire/server_sign.hpp
@@ -7,15 +7,16 @@
 
 namespace godwit::wire {
 
-/// A sign about one backend server, passed on to where it matters.
+/// A notice about the state of one backend server, forwarded to the processes
+/// that send to it.
 struct server_sign
 {
     core::server_address address;
     sign_kind kind = sign_kind::failed;
-    /// How long ago the sign was seen, in milliseconds.
+    /// Time since it was observed, in milliseconds.
     std::uint32_t age_ms = 0;
-    /// When the life that is meant began, in Unix milliseconds; 0 is not
-    /// known.
+    /// Start time of the server process that is meant, in Unix milliseconds;
+    /// 0 if unknown.
     std::uint64_t started_at_ms = 0;
 
     friend bool operator==(const server_sign&, const server_sign&) = default;
--- a/libraries/wire/include/godwit/wire/server_state.hpp
+++ b/libraries/wire/include/godwit/wire/server_state.hpp
@@ -4,12 +4,12 @@
 
 namespace godwit::wire {
 
-/// What is known of a backend server.
+/// The state of a backend server.
 enum class server_state : std::uint8_t
 {
-    live,    ///< It takes new work.
-    leaving, ///< It gets nothing new; running work finishes.
-    failed,  ///< It was seen to fail and is on trial.
+    live,    ///< It accepts new requests.
+    leaving, ///< Draining: no new requests; running ones finish.
+    failed,  ///< It failed lately and is being probed.
 };
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/sign_kind.hpp
+++ b/libraries/wire/include/godwit/wire/sign_kind.hpp
@@ -4,12 +4,12 @@
 
 namespace godwit::wire {
 
-/// A sign about a backend server, by any route.
+/// The kind of a notice about a backend server, from whichever source.
 enum class sign_kind : std::uint8_t
 {
-    leaving,   ///< It said that it leaves, or the host list does.
+    leaving,   ///< It drains, as reported by itself or the host list.
     failed,    ///< Connections to it were refused or timed out.
-    recovered, ///< It answered again after it had failed.
+    recovered, ///< It responds again after a failure.
 };
 
 } // namespace godwit::wire
--- a/libraries/wire/include/godwit/wire/table_changes.hpp
+++ b/libraries/wire/include/godwit/wire/table_changes.hpp
@@ -6,22 +6,21 @@
 
 namespace godwit::wire {
 
-/// One version of the route table made from the one before.
+/// A version of the route table as a patch of the previous one.
 struct table_step
 {
     std::uint64_t version = 0;
-    std::string made;             ///< The digest of this version's text.
-    std::uint64_t made_bytes = 0; ///< The size of this version's text.
-    std::string compressed;       ///< As in `delta::text_patch`.
+    std::string made;             ///< Digest of this version's text.
+    std::uint64_t made_bytes = 0; ///< Size of this version's text.
+    std::string compressed;       ///< See `delta::text_patch`.
 
     friend bool operator==(const table_step&, const table_step&) = default;
 };
 
-/// The versions that lead from a text that the receiver has to the sender's,
-/// one after the other.
+/// Successive patches from a version that the receiver has to the sender's.
 struct table_changes
 {
-    std::string base; ///< The digest of that text; empty: from nothing.
+    std::string base; ///< Digest of the receiver's text; empty for no base.
     std::vector<table_step> steps;
 
     friend bool
--- a/libraries/wire/include/godwit/wire/table_document.hpp
+++ b/libraries/wire/include/godwit/wire/table_document.hpp
@@ -5,7 +5,7 @@
 
 namespace godwit::wire {
 
-/// A version of the route table, as its operator wrote it.
+/// A version of the route table, in the text that its operator wrote.
 struct table_document
 {
     std::uint64_t version = 0;
--- a/libraries/wire/src/acceptor.cpp
+++ b/libraries/wire/src/acceptor.cpp
@@ -10,8 +10,9 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// After a failed accept (mostly: out of descriptors) the next try waits.
-constexpr auto accept_pause = std::chrono::milliseconds(100);
+// Delay after a failed accept, which mostly means that the process has no free
+// file descriptors.
+constexpr auto accept_retry_delay = std::chrono::milliseconds(100);
 
 core::error cannot_listen(
     const tcp::endpoint& endpoint, const boost::system::error_code& code)
@@ -97,31 +98,31 @@
             if (self->stopped_)
                 return;
             if (code) {
-                self->pause();
+                self->retry_later();
                 return;
             }
-            self->accepted(std::move(socket));
+            self->on_accepted(std::move(socket));
             self->accept();
         });
 }
 
-void acceptor::accepted(tcp::socket socket)
+void acceptor::on_accepted(tcp::socket socket)
 {
     if (links_.size() >= link_limit_) {
         ++refused_;
         return;
     }
-    auto made =
-        link::create(std::move(socket), options_, self_(), watch_link());
-    if (!made)
+    auto created =
+        link::create(std::move(socket), options_, self_(), make_handlers());
+    if (!created)
         return;
-    links_.insert(*made);
-    (*made)->start();
+    links_.insert(*created);
+    (*created)->start();
 }
 
-void acceptor::pause()
+void acceptor::retry_later()
 {
-    timer_.expires_after(accept_pause);
+    timer_.expires_after(accept_retry_delay);
     timer_.async_wait(
         [self = shared_from_this()](const boost::system::error_code& code) {
             if (!code && !self->stopped_)
@@ -129,7 +130,7 @@
         });
 }
 
-link_handlers acceptor::watch_link()
+link_handlers acceptor::make_handlers()
 {
     const auto weak = weak_from_this();
     return {
--- a/libraries/wire/src/codec.cpp
+++ b/libraries/wire/src/codec.cpp
@@ -23,8 +23,8 @@
         "check that the peer is a godwitworks process of this release"};
 }
 
-// FlatBuffers reads scalars in place, and a frame may lie anywhere in the
-// receive buffer.
+// FlatBuffers reads scalars in place and needs aligned memory, but a frame may
+// start at any byte of the receive buffer.
 class aligned_copy
 {
 public:
@@ -114,7 +114,7 @@
     case format::payload::NONE:
         break;
     }
-    return tl::unexpected(invalid_frame("its message type is not known"));
+    return tl::unexpected(invalid_frame("its message type is unknown"));
 }
 
 template<class Table>
@@ -146,7 +146,7 @@
     flatbuffers::Verifier verifier(
         copy.data(), body.size(), table_depth_limit, table_count_limit);
     if (!format::VerifyframeBuffer(verifier))
-        return tl::unexpected(invalid_frame("the verifier refuses it"));
+        return tl::unexpected(invalid_frame("verification failed"));
     frame_reader reader(body.size());
     return read_frame(*format::Getframe(copy.data()), reader);
 }
--- a/libraries/wire/src/connector.cpp
+++ b/libraries/wire/src/connector.cpp
@@ -13,7 +13,8 @@
     std::uint64_t seed,
     const backoff_options& waits)
 {
-    // Refused here, because no caller waits for a result at each connection.
+    // Options are checked here because later connections have no caller to
+    // report an error to.
     (void)GODWIT_TRY(frame_encoder::create(options.frame_limit));
     return std::shared_ptr<connector>(new connector(
         std::move(executor),
@@ -70,8 +71,8 @@
 void connector::connect()
 {
     connecting_ = true;
-    // A SYN into a cut zone is not answered; the system's own time limit is
-    // minutes.
+    // A SYN to a partitioned zone gets no response, and the system's own
+    // timeout is minutes.
     timer_.expires_after(options_.hello_timeout);
     timer_.async_wait(
         [weak = weak_from_this()](const boost::system::error_code& code) {
@@ -94,23 +95,23 @@
                 self->retry();
                 return;
             }
-            self->connected();
+            self->on_connected();
         });
 }
 
-void connector::connected()
+void connector::on_connected()
 {
-    auto made =
-        link::create(std::move(socket_), options_, self_(), watch_link());
-    if (!made) {
+    auto created =
+        link::create(std::move(socket_), options_, self_(), make_handlers());
+    if (!created) {
         retry();
         return;
     }
-    link_ = std::move(*made);
+    link_ = std::move(*created);
     link_->start();
 }
 
-link_handlers connector::watch_link()
+link_handlers connector::make_handlers()
 {
     const auto weak = weak_from_this();
     return {
--- a/libraries/wire/src/copy_budget.hpp
+++ b/libraries/wire/src/copy_budget.hpp
@@ -4,16 +4,16 @@
 
 namespace godwit::wire {
 
-/// What may still be copied out of one frame, in bytes. FlatBuffers lets many
-/// fields share one string, so that a small hostile frame can describe
-/// gigabytes; our encoder never shares, so an honest frame stays within its
-/// own size.
+/// Number of bytes that may still be copied out of a frame. FlatBuffers lets
+/// many fields refer to one string, so a small malicious frame could decode to
+/// gigabytes. The encoder never shares strings, so a legitimate frame decodes
+/// to at most its own size.
 class copy_budget
 {
 public:
     explicit copy_budget(std::size_t bytes) noexcept : left_(bytes) {}
 
-    /// Takes `bytes` from the budget, if they are there.
+    /// Deducts `bytes`; returns false if fewer are left.
     [[nodiscard]] bool take(std::size_t bytes) noexcept
     {
         if (bytes > left_)
--- a/libraries/wire/src/frame_decoder.cpp
+++ b/libraries/wire/src/frame_decoder.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Consumed bytes are only moved out of the way once they are worth a copy.
+// Consumed bytes are erased only from this size on, because erasing moves the
+// rest of the buffer.
 constexpr std::size_t compaction_threshold = std::size_t{64} * 1024;
 
 } // namespace
@@ -49,8 +50,8 @@
     if (length == 0 || length > limit_) {
         return core::fail(
             core::error_kind::protocol,
-            "a frame announces " + std::to_string(length) +
-                " bytes; allowed are 1 to " + std::to_string(limit_),
+            "a frame has a length of " + std::to_string(length) +
+                " bytes; the allowed range is 1 to " + std::to_string(limit_),
             "check that the peer is a godwitworks process with the same "
             "frame limit");
     }
--- a/libraries/wire/src/frame_length.hpp
+++ b/libraries/wire/src/frame_length.hpp
@@ -9,13 +9,14 @@
 
 namespace godwit::wire {
 
-/// The length as the four little-endian bytes before a frame's body.
+/// Encodes a frame's length prefix: four bytes, little-endian.
 [[nodiscard]] std::string encode_length(std::uint32_t length);
 
-/// The length in the first four bytes, which must be there.
+/// Decodes the length prefix; `bytes` must have at least four bytes.
 [[nodiscard]] std::uint32_t decode_length(std::string_view bytes) noexcept;
 
-/// Refuses a limit that no frame could honour.
+/// Returns `limit`, or `invalid_input` if it is 0 or does not fit into the
+/// length prefix.
 [[nodiscard]] core::result<std::size_t> check_limit(std::size_t limit);
 
 } // namespace godwit::wire
--- a/libraries/wire/src/frame_reader.hpp
+++ b/libraries/wire/src/frame_reader.hpp
@@ -11,8 +11,8 @@
 
 namespace godwit::wire {
 
-/// Copies values out of one verified frame, and remembers what the verifier
-/// does not check: values of enumerations and the sum of what is copied.
+/// Copies values out of a verified frame and checks what the verifier does not:
+/// the values of enumerations and the total size of the copies.
 class frame_reader
 {
 public:
@@ -20,13 +20,13 @@
 
     [[nodiscard]] bool failed() const noexcept { return !failure_.empty(); }
 
-    /// What is wrong with the frame, when it `failed`.
+    /// The reason, if the frame `failed`.
     [[nodiscard]] const std::string& failure() const noexcept
     {
         return failure_;
     }
 
-    /// A string; a missing one is empty.
+    /// Copies a string; a missing one is empty.
     [[nodiscard]] std::string text(const flatbuffers::String* value)
     {
         if (value == nullptr || !take(value->size()))
@@ -64,7 +64,7 @@
         return {reinterpret_cast<const char*>(value->data()), value->size()};
     }
 
-    /// A nested table; a missing one is a value of its defaults.
+    /// Reads a nested table; a missing one gives a value-initialised result.
     template<class Value, class Table>
     [[nodiscard]] Value table(const Table* nested)
     {
@@ -88,18 +88,20 @@
         return values;
     }
 
-    /// Our enumeration for the schema's; both list the same values from 0.
+    /// Converts an enumerator of the schema; both enumerations list the same
+    /// values from 0.
     template<class Value, class Format>
     [[nodiscard]] Value enumerator(Format value)
     {
         if (value > Format::MAX)
-            failure_ = "an enumeration has a value that is not known";
+            failure_ = "an enumeration has an unknown value";
         return static_cast<Value>(value);
     }
 
 private:
-    // An offset and a length stand before each string and vector, and an
-    // offset each to a table and its layout before each table.
+    // Bytes per element besides its content: an offset and a length for each
+    // string and vector, an offset to the table and one to its vtable for each
+    // table.
     static constexpr std::size_t element_overhead = 8;
 
     bool take(std::size_t bytes)
--- a/libraries/wire/src/link.cpp
+++ b/libraries/wire/src/link.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-core::error broken(const boost::system::error_code& code)
+core::error connection_broken(const boost::system::error_code& code)
 {
     return {
         core::error_kind::unavailable,
         "the connection broke: " + code.message(),
-        "none is needed; the connecting side tries again"};
+        "no action is needed; the connecting side retries"};
 }
 
-// Number of kinds that releases without `hello::message_kinds` can read.
+// Number of message kinds that releases without `hello::message_kinds` can
+// read.
 constexpr std::size_t legacy_message_kinds = 24;
 
 // A peer closes the link when it receives a frame of an unknown kind.
@@ -66,10 +67,11 @@
 
 void link::start()
 {
-    // A hello that cannot be sent closes the link, and its holder drops it.
-    const auto kept = shared_from_this();
-    // Frames are small and their answers are waited for; the write queue
-    // already joins what is sent together.
+    // If the hello cannot be sent, the link closes and its owner releases it;
+    // this reference keeps it alive until `start` returns.
+    const auto self = shared_from_this();
+    // Nagle's algorithm would delay small frames whose responses are awaited;
+    // the write queue already coalesces messages.
     boost::system::error_code ignored;
     socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     started_ = core::monotonic_now();
@@ -94,8 +96,8 @@
         close(core::error(
             core::error_kind::exhausted,
             "the peer reads too slowly: " + std::to_string(queued()) +
-                " bytes wait to be sent",
-            "look for a paused or overloaded process at the other end"));
+                " bytes are queued",
+            "check whether the peer's process is paused or overloaded"));
         return;
     }
     pending_ += *frame;
@@ -109,7 +111,7 @@
 {
     if (closed_)
         return;
-    shut();
+    close_socket();
     const auto handler = std::move(handlers_.on_close);
     handlers_ = {};
     if (handler)
@@ -120,11 +122,11 @@
 {
     if (closed_)
         return;
-    shut();
+    close_socket();
     handlers_ = {};
 }
 
-void link::shut()
+void link::close_socket()
 {
     closed_ = true;
     boost::system::error_code ignored;
@@ -142,14 +144,14 @@
             if (self->closed_)
                 return;
             if (code) {
-                self->close(broken(code));
+                self->close(connection_broken(code));
                 return;
             }
-            self->take(size);
+            self->on_received(size);
         });
 }
 
-void link::take(std::size_t size)
+void link::on_received(std::size_t size)
 {
     counters_.bytes_received += size;
     last_received_ = core::monotonic_now();
@@ -172,7 +174,7 @@
 bool link::dispatch(message value)
 {
     if (const auto* introduction = std::get_if<hello>(&value))
-        return open(*introduction);
+        return on_hello(*introduction);
     if (!peer_) {
         close(core::error(
             core::error_kind::protocol,
@@ -189,19 +191,19 @@
     return !closed_;
 }
 
-bool link::open(const hello& peer)
+bool link::on_hello(const hello& peer)
 {
     if (peer_) {
         close(core::error(
             core::error_kind::protocol,
-            "the peer said hello twice",
+            "the peer sent a second hello",
             "check that the peer is a godwitworks process"));
         return false;
     }
     if (peer.version != protocol_version) {
         close(core::error(
             core::error_kind::protocol,
-            "the peer " + peer.host.value() + " speaks version " +
+            "the peer " + peer.host.value() + " has protocol version " +
                 std::to_string(peer.version) + ", this process version " +
                 std::to_string(protocol_version),
             "run the same release on both sides"));
@@ -229,7 +231,7 @@
             if (self->closed_)
                 return;
             if (code) {
-                self->close(broken(code));
+                self->close(connection_broken(code));
                 return;
             }
             self->write();
@@ -255,15 +257,15 @@
     if (!peer_ && now - started_ >= options_.hello_timeout) {
         close(core::error(
             core::error_kind::timeout,
-            "the peer did not say hello in time",
+            "the peer sent no hello in time",
             "check that the address is a godwitworks process"));
         return;
     }
     if (now - last_received_ >= options_.idle_timeout) {
         close(core::error(
             core::error_kind::timeout,
-            "nothing came from the peer for too long",
-            "look for a cut link or a paused process at the other end"));
+            "the peer sent nothing within the idle timeout",
+            "check the network, and whether the peer's process is paused"));
         return;
     }
     if (now - last_sent_ >= options_.heartbeat_interval)
--- a/libraries/wire/src/message_reader.hpp
+++ b/libraries/wire/src/message_reader.hpp
@@ -8,7 +8,7 @@
 
 class frame_reader;
 
-// One overload a table of a verified frame.
+// One overload per table: reads a table of a verified frame.
 hello read(const format::hello& table, frame_reader& reader);
 heartbeat read(const format::heartbeat& table, frame_reader& reader);
 catalogue_snapshot
--- a/libraries/wire/src/message_writer.hpp
+++ b/libraries/wire/src/message_writer.hpp
@@ -6,7 +6,7 @@
 
 namespace godwit::wire {
 
-// One overload a type: writes `value` into `out` as a table.
+// One overload per type: writes `value` into `out` as a table.
 flatbuffers::Offset<format::hello>
 write(flatbuffers::FlatBufferBuilder& out, const hello& value);
 flatbuffers::Offset<format::heartbeat>
--- a/tests/wire/frame_test.cpp
+++ b/tests/wire/frame_test.cpp
@@ -68,7 +68,7 @@
         decoder.feed(frame_encoder::create().value().encode(large).value());
         CPPUNIT_ASSERT(
             decoder.next().error().kind() == core::error_kind::protocol);
-        // No boundary is known any more, so good bytes do not help.
+        // The frame boundaries are lost, so valid bytes are refused too.
         decoder.feed(encoder.encode(small).value());
         CPPUNIT_ASSERT(!decoder.next());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, decoder.buffered());
--- a/tests/wire/fuzz_test.cpp
+++ b/tests/wire/fuzz_test.cpp
@@ -16,24 +16,25 @@
 
 namespace {
 
-constexpr std::size_t limit = 4096;
+constexpr std::size_t frame_limit = 4096;
 
-// Seeded, so that a failure comes back at each run; the sanitizer builds see
-// what an assertion cannot.
+// Feeds malformed input to the decoder. The generators have fixed seeds, so
+// that failures are reproducible; sanitizer builds find errors that no
+// assertion checks.
 class fuzz_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(fuzz_test);
     CPPUNIT_TEST(test_random_bytes);
     CPPUNIT_TEST(test_mutated_frames);
     CPPUNIT_TEST(test_truncated_bodies);
-    CPPUNIT_TEST(test_shared_strings_do_not_multiply);
+    CPPUNIT_TEST(test_many_references_to_one_string_are_refused);
     CPPUNIT_TEST_SUITE_END();
 
-    // Whatever comes, the decoder yields messages or one lasting error, and
-    // never holds more than one frame and what was fed.
+    // For any input the decoder returns messages or a permanent error, and
+    // buffers no more than one frame and the bytes just fed.
     static void feed_all(const std::string& bytes, core::random& random)
     {
-        auto decoder = wire::frame_decoder::create(limit).value();
+        auto decoder = wire::frame_decoder::create(frame_limit).value();
         std::size_t fed = 0;
         bool failed = false;
         while (fed < bytes.size()) {
@@ -55,7 +56,7 @@
                     break;
             }
             CPPUNIT_ASSERT(
-                decoder.buffered() <= limit + wire::frame_header_size);
+                decoder.buffered() <= frame_limit + wire::frame_header_size);
         }
     }
 
@@ -72,7 +73,7 @@
         core::random random(1);
         for (int round = 0; round < 20000; ++round) {
             std::string bytes = random_bytes(random, random.below(300));
-            // Half of them announce a length that is allowed.
+            // About half of them start with a length within the limit.
             if (bytes.size() > 3 && random.below(2) == 0)
                 bytes[1] = bytes[2] = bytes[3] = 0;
             feed_all(bytes, random);
@@ -120,8 +121,8 @@
     {
         for (const wire::message& sample : wire::sample_messages()) {
             const std::string body = wire::encode(sample);
-            // The tail may be padding, so only what lies before it must be
-            // refused.
+            // The last bytes may be padding: a body without them may still
+            // decode, but then to the same message.
             for (std::size_t size = 0; size < body.size(); ++size) {
                 const auto decoded =
                     wire::decode(std::string_view(body).substr(0, size));
@@ -130,9 +131,10 @@
         }
     }
 
-    void test_shared_strings_do_not_multiply()
+    void test_many_references_to_one_string_are_refused()
     {
-        // A frame of a few kilobytes whose list names one string 500 times.
+        // A frame of a few kilobytes whose list refers to one string 500
+        // times.
         flatbuffers::FlatBufferBuilder out;
         const auto shared = out.CreateString(std::string(2000, 'x'));
         const std::vector<flatbuffers::Offset<flatbuffers::String>> many(
--- a/tests/wire/link_test.cpp
+++ b/tests/wire/link_test.cpp
@@ -18,9 +18,9 @@
 namespace {
 
 const tcp::endpoint any_port(boost::asio::ip::address_v4::loopback(), 0);
-constexpr auto patience = std::chrono::seconds(20);
+constexpr auto wait_limit = std::chrono::seconds(20);
 
-wire::hello introduce(const std::string& host)
+wire::hello make_hello(const std::string& host)
 {
     wire::hello self;
     self.version = wire::protocol_version;
@@ -29,19 +29,20 @@
     return self;
 }
 
-// One acceptor that remembers what happened to its links.
+// An acceptor that echoes messages and records the events of its links, and a
+// connector to it.
 class link_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(link_test);
     CPPUNIT_TEST(test_messages_in_both_directions);
-    CPPUNIT_TEST(test_connects_again);
+    CPPUNIT_TEST(test_connector_reconnects);
     CPPUNIT_TEST(test_bad_bytes_close_only_their_connection);
-    CPPUNIT_TEST(test_other_version_is_refused);
-    CPPUNIT_TEST(test_a_peer_is_sent_no_kind_that_it_cannot_read);
-    CPPUNIT_TEST(test_slow_reader_is_closed_at_the_bound);
-    CPPUNIT_TEST(test_silent_peer_is_closed);
+    CPPUNIT_TEST(test_different_protocol_version_is_refused);
+    CPPUNIT_TEST(test_no_message_kind_that_the_peer_cannot_read_is_sent);
+    CPPUNIT_TEST(test_link_to_slow_reader_is_closed_at_the_queue_limit);
+    CPPUNIT_TEST(test_link_without_hello_is_closed);
     CPPUNIT_TEST(test_link_limit);
-    CPPUNIT_TEST(test_a_hello_that_does_not_fit_closes_its_link);
+    CPPUNIT_TEST(test_hello_over_the_frame_limit_closes_the_link);
     CPPUNIT_TEST_SUITE_END();
 
     boost::asio::io_context context_;
@@ -73,7 +74,7 @@
                         context_.get_executor(),
                         endpoint,
                         options,
-                        [] { return introduce("server"); },
+                        [] { return make_hello("server"); },
                         handlers,
                         link_limit)
                         .value();
@@ -94,7 +95,7 @@
                          context_.get_executor(),
                          acceptor_->endpoint(),
                          {},
-                         [] { return introduce("client"); },
+                         [] { return make_hello("client"); },
                          handlers,
                          1)
                          .value();
@@ -104,11 +105,11 @@
     template<class Condition>
     void wait_until(Condition condition)
     {
-        const auto deadline = core::monotonic_now() + patience;
+        const auto deadline = core::monotonic_now() + wait_limit;
         while (!condition()) {
             CPPUNIT_ASSERT(core::monotonic_now() < deadline);
             context_.restart();
-            context_.run_one_for(patience);
+            context_.run_one_for(wait_limit);
         }
     }
 
@@ -148,7 +149,7 @@
         connect();
         wait_until([this] { return client_opened_ == 1; });
         auto samples = wire::sample_messages();
-        // Hello and heartbeat belong to the link itself.
+        // The link handles hello and heartbeat itself.
         samples.erase(samples.begin(), samples.begin() + 2);
         for (const auto& sample : samples)
             CPPUNIT_ASSERT(connector_->send(sample));
@@ -159,7 +160,7 @@
             opened_.front()->counters().bytes_received);
     }
 
-    void test_connects_again()
+    void test_connector_reconnects()
     {
         listen();
         connect();
@@ -181,7 +182,7 @@
             std::string(4, '\0'),
             std::string("\x08\0\0\0garbage!", 12),
             frame(wire::pull{1}),
-            frame(introduce("twice")) + frame(introduce("twice"))};
+            frame(make_hello("twice")) + frame(make_hello("twice"))};
         for (const std::string& input : inputs) {
             const auto before = closed_.size();
             auto socket = raw_connection();
@@ -194,11 +195,11 @@
         CPPUNIT_ASSERT_EQUAL(inputs.size(), closed_.size());
     }
 
-    void test_other_version_is_refused()
+    void test_different_protocol_version_is_refused()
     {
         listen();
         auto socket = raw_connection();
-        auto other = introduce("other");
+        auto other = make_hello("other");
         other.version = wire::protocol_version + 1;
         write(socket, frame(other));
         wait_until([this] { return !closed_.empty(); });
@@ -206,12 +207,12 @@
         CPPUNIT_ASSERT(opened_.empty());
     }
 
-    void test_a_peer_is_sent_no_kind_that_it_cannot_read()
+    void test_no_message_kind_that_the_peer_cannot_read_is_sent()
     {
         listen();
         auto socket = raw_connection();
         // A `hello` of an older release, without message_kinds.
-        write(socket, frame(introduce("older")));
+        write(socket, frame(make_hello("older")));
         wait_until([this] { return !opened_.empty(); });
         const auto before = opened_.front()->counters().messages_sent;
         opened_.front()->send(wire::crash_reports{{}, {"0a"}});
@@ -221,19 +222,20 @@
             before + 1, opened_.front()->counters().messages_sent);
     }
 
-    void test_slow_reader_is_closed_at_the_bound()
+    void test_link_to_slow_reader_is_closed_at_the_queue_limit()
     {
         wire::link_options options;
         options.send_queue_limit = std::size_t{64} * 1024;
         listen(options);
         auto socket = raw_connection();
-        auto self = introduce("slow");
+        auto self = make_hello("slow");
         self.version = wire::protocol_version;
         write(socket, frame(self));
         wait_until([this] { return !opened_.empty(); });
         const wire::duty_message large{
             "x", 0, 0, std::string(std::size_t{16} * 1024, 'x')};
-        // The kernel's buffers take some; the bound stops the rest.
+        // The kernel's buffers take some of the data; the queue limit stops
+        // the rest.
         while (closed_.empty()) {
             opened_.front()->send(large);
             CPPUNIT_ASSERT(
@@ -244,7 +246,7 @@
         CPPUNIT_ASSERT(closed_.back().kind() == core::error_kind::exhausted);
     }
 
-    void test_silent_peer_is_closed()
+    void test_link_without_hello_is_closed()
     {
         wire::link_options options;
         options.hello_timeout = std::chrono::milliseconds(20);
@@ -264,16 +266,16 @@
         CPPUNIT_ASSERT(connector_->current());
     }
 
-    // The link closes while it starts, and whoever holds it drops it then: it
-    // was read from after its end.
-    void test_a_hello_that_does_not_fit_closes_its_link()
+    // Guards against a use after free: the link closes during `start`, its
+    // owner releases it, and `start` went on to read from it.
+    void test_hello_over_the_frame_limit_closes_the_link()
     {
         listen();
-        int lost = 0;
+        int closed = 0;
         wire::link_handlers handlers;
-        handlers.on_close = [&lost](const auto&, const core::error& reason) {
+        handlers.on_close = [&closed](const auto&, const core::error& reason) {
             CPPUNIT_ASSERT(reason.kind() == core::error_kind::exhausted);
-            ++lost;
+            ++closed;
         };
         wire::link_options options;
         options.frame_limit = 16;
@@ -281,12 +283,12 @@
                          context_.get_executor(),
                          acceptor_->endpoint(),
                          options,
-                         [] { return introduce("client"); },
+                         [] { return make_hello("client"); },
                          handlers,
                          1)
                          .value();
         connector_->start();
-        wait_until([&lost] { return lost >= 2; });
+        wait_until([&closed] { return closed >= 2; });
     }
 };
 
