--- a/libraries/membership/include/godwit/membership/actions.hpp
+++ b/libraries/membership/include/godwit/membership/actions.hpp
@@ -12,7 +12,7 @@
 
 namespace godwit::membership {
 
-/// Give this snapshot to dispatch in place of the last one.
+/// Replaces the snapshot that dispatch uses.
 struct publish_snapshot
 {
     std::shared_ptr<const pool_snapshot> snapshot;
@@ -21,7 +21,7 @@
     operator==(const publish_snapshot&, const publish_snapshot&) = default;
 };
 
-/// Tell the peer agents.
+/// Sends a notice about the server to the peer agents.
 struct forward_notice
 {
     core::server_address server;
@@ -31,7 +31,8 @@
     operator==(const forward_notice&, const forward_notice&) = default;
 };
 
-/// Ask the server for its load and report `probe_passed` or `probe_failed`.
+/// Requests the server's load; the result is reported as `probe_passed` or
+/// `probe_failed`.
 struct probe_server
 {
     core::server_address server;
@@ -39,7 +40,7 @@
     friend bool operator==(const probe_server&, const probe_server&) = default;
 };
 
-/// A server changed its state; for the log.
+/// Logs a state change of a server.
 struct state_changed
 {
     core::server_address server;
@@ -51,17 +52,17 @@
     operator==(const state_changed&, const state_changed&) = default;
 };
 
-/// A host list was not believed; for the log and an alarm.
+/// Logs an implausible host list and raises an alarm.
 struct host_list_implausible
 {
-    std::size_t missing = 0; ///< Servers that it left out.
+    std::size_t missing = 0; ///< Known servers that it does not contain.
     std::size_t known = 0;
 
     friend bool operator==(
         const host_list_implausible&, const host_list_implausible&) = default;
 };
 
-/// Everything that membership can want done.
+/// Any action that membership requests.
 using action = std::variant<
     publish_snapshot,
     forward_notice,
--- a/libraries/membership/include/godwit/membership/eligible_server.hpp
+++ b/libraries/membership/include/godwit/membership/eligible_server.hpp
@@ -5,7 +5,7 @@
 
 namespace godwit::membership {
 
-/// A backend server that may get new work.
+/// A backend server that may get new requests.
 struct eligible_server
 {
     core::server_address address;
--- a/libraries/membership/include/godwit/membership/events.hpp
+++ b/libraries/membership/include/godwit/membership/events.hpp
@@ -11,7 +11,7 @@
 
 namespace godwit::membership {
 
-/// The host list was read. It lags, and may be empty or damaged.
+/// The host list was read. It is delayed, and may be empty or incomplete.
 struct host_list_read
 {
     std::vector<listed_server> servers;
@@ -20,14 +20,14 @@
     operator==(const host_list_read&, const host_list_read&) = default;
 };
 
-/// The host list could not be read: the last view stays.
+/// The host list could not be read; the previous one stays in use.
 struct host_list_failed
 {
     friend bool
     operator==(const host_list_failed&, const host_list_failed&) = default;
 };
 
-/// The catalogue's requirements of all services, replacing earlier ones.
+/// The catalogue's requirements for all services; replaces earlier ones.
 struct requirements_changed
 {
     std::vector<service_requirement> services;
@@ -49,22 +49,23 @@
     operator==(const load_reported&, const load_reported&) = default;
 };
 
-/// What a request or a probe saw of a backend server.
+/// What a request or a probe showed about the health of a backend server.
 enum class health_observation
 {
-    answered,     ///< A request was answered.
-    refused,      ///< A connection was refused.
-    timed_out,    ///< No connection, or no answer, in time.
-    failed,       ///< The connection broke, or the answer was not its own.
-    leaving,      ///< It answered that it is leaving.
-    probe_passed, ///< A probe was answered as live.
-    probe_failed, ///< A probe was not answered.
+    answered,     ///< It responded to a request.
+    refused,      ///< It refused a connection.
+    timed_out,    ///< A connection or a response timed out.
+    failed,       ///< The connection broke, or the response was to
+                  ///< another request.
+    leaving,      ///< It responded that it is leaving.
+    probe_passed, ///< It responded to a probe as live.
+    probe_failed, ///< It did not respond to a probe.
 };
 
-/// The name of `value` as it appears in logs.
+/// Returns the name of `value` for logs.
 [[nodiscard]] std::string_view to_string(health_observation value) noexcept;
 
-/// A request or a probe saw a backend server.
+/// A request or a probe showed the health of a backend server.
 struct server_observed
 {
     core::server_address server;
@@ -74,7 +75,7 @@
     operator==(const server_observed&, const server_observed&) = default;
 };
 
-/// A peer agent passed a sign on.
+/// A peer agent sent a notice.
 struct notice_received
 {
     core::server_address server;
@@ -84,20 +85,20 @@
     operator==(const notice_received&, const notice_received&) = default;
 };
 
-/// A peer agent connected, and may know nothing yet.
+/// A peer agent connected; it may have received no notices yet.
 struct peer_connected
 {
     friend bool
     operator==(const peer_connected&, const peer_connected&) = default;
 };
 
-/// Time passed; expected about once every 100 ms.
+/// Advances the time; expected about once every 100 ms.
 struct clock_ticked
 {
     friend bool operator==(const clock_ticked&, const clock_ticked&) = default;
 };
 
-/// Everything that membership is told.
+/// Any input of membership.
 using event = std::variant<
     host_list_read,
     host_list_failed,
--- a/libraries/membership/include/godwit/membership/listed_server.hpp
+++ b/libraries/membership/include/godwit/membership/listed_server.hpp
@@ -4,14 +4,14 @@
 
 namespace godwit::membership {
 
-/// What the platform's host list says of a host.
+/// The state of a host in the platform's host list.
 enum class listed_state
 {
     live,
     leaving,
 };
 
-/// One backend server as the platform's host list shows it.
+/// A backend server in the platform's host list.
 struct listed_server
 {
     core::server_address address;
--- a/libraries/membership/include/godwit/membership/pool.hpp
+++ b/libraries/membership/include/godwit/membership/pool.hpp
@@ -15,25 +15,25 @@
 
 namespace godwit::membership {
 
-/// Which backend servers may get new work: the host list, corrected by what
-/// is seen of the servers. Does no I/O.
+/// Decides which backend servers may get new requests, from the host list, load
+/// reports, observed failures and probes. Does no I/O.
 class pool
 {
 public:
-    /// Refuses settings whose spans or counts are zero. `seed` draws the
-    /// jitter of ejection times.
+    /// Fails with `invalid_input` if a duration or count is zero. `seed` is for
+    /// the jitter of ejection times.
     [[nodiscard]] static core::result<pool>
     create(pool_settings settings, std::uint64_t seed);
 
-    /// What is to be done about `what`, in order.
+    /// Processes `input` and returns the actions to take, in order.
     [[nodiscard]] std::vector<action>
-    handle(const event& what, core::time_point now);
+    handle(const event& input, core::time_point now);
 
-    /// The state of a server; `gone` for an unknown one.
+    /// Returns the state of a server; `gone` for an unknown one.
     [[nodiscard]] server_state
     state_of(const core::server_address& server) const;
 
-    /// The latest snapshot; never null.
+    /// Returns the latest snapshot; never null.
     [[nodiscard]] std::shared_ptr<const pool_snapshot> snapshot() const
     {
         return snapshot_;
@@ -58,47 +58,47 @@
 
     explicit pool(pool_settings settings, std::uint64_t seed);
 
-    void on(const host_list_read& what);
-    void on(const host_list_failed& what);
-    void on(const requirements_changed& what);
-    void on(const load_reported& what);
-    void on(const server_observed& what);
-    void on(const notice_received& what);
-    void on(const peer_connected& what);
-    void on(const clock_ticked& what);
+    void on(const host_list_read& list);
+    void on(const host_list_failed& failure);
+    void on(const requirements_changed& changed);
+    void on(const load_reported& report);
+    void on(const server_observed& observed);
+    void on(const notice_received& notice);
+    void on(const peer_connected& peer);
+    void on(const clock_ticked& tick);
 
-    void take_listed(const listed_server& listed);
-    void take_unlisted(const std::vector<listed_server>& listed);
-    void on_success(const core::server_address& server, member& known);
+    void update_listed(const listed_server& listed);
+    void update_unlisted(const std::vector<listed_server>& listed);
+    void on_success(const core::server_address& server, member& entry);
     void on_failure(
         const core::server_address& server,
-        member& known,
-        health_observation what);
+        member& entry,
+        health_observation observation);
     void begin_leaving(
         const core::server_address& server,
-        member& known,
-        std::string_view why);
-    void try_to_revive(const core::server_address& server, member& known);
+        member& entry,
+        std::string_view reason);
+    void try_to_restore(const core::server_address& server, member& entry);
     void eject(
         const core::server_address& server,
-        member& known,
-        std::string_view why);
-    void probe(const core::server_address& server, member& known);
-    void move_to(
+        member& entry,
+        std::string_view reason);
+    void probe(const core::server_address& server, member& entry);
+    void set_state(
         const core::server_address& server,
-        member& known,
+        member& entry,
         server_state to,
-        std::string_view why);
+        std::string_view reason);
 
-    [[nodiscard]] bool needs_probe(const member& known) const;
+    [[nodiscard]] bool needs_probe(const member& entry) const;
     [[nodiscard]] bool may_eject(const member& candidate) const;
-    [[nodiscard]] bool meets_requirement(const member& known) const;
+    [[nodiscard]] bool meets_requirement(const member& entry) const;
     [[nodiscard]] core::duration next_ejection_time(std::uint32_t earlier);
     void refresh_snapshot();
-    void limit_to_subset(service_pool& of_service) const;
+    void limit_to_subset(service_pool& candidates) const;
 
     template<class Action>
-    void emit(Action what);
+    void emit(Action requested);
 
     pool_settings settings_;
     core::random random_;
--- a/libraries/membership/include/godwit/membership/pool_settings.hpp
+++ b/libraries/membership/include/godwit/membership/pool_settings.hpp
@@ -8,24 +8,25 @@
 
 namespace godwit::membership {
 
-/// The limits of membership. Spans and counts are above zero.
+/// Settings of membership. Durations and counts are above zero.
 struct pool_settings
 {
-    core::host_name host; ///< This entry host; chooses its subset.
+    core::host_name host; ///< This entry host; determines its subset.
     core::zone_name zone; ///< This entry host's availability zone.
-    /// Failures in a row after which a server is ejected. A refused
-    /// connection ejects at once.
+    /// Consecutive failures after which a server is ejected. A refused
+    /// connection ejects it at once.
     std::size_t failure_limit = 3;
     core::duration ejection_base = std::chrono::seconds(1);
     core::duration ejection_limit = std::chrono::seconds(60);
     core::duration probe_interval = std::chrono::seconds(1);
-    /// How long a leaving server stays so whatever a late host list says.
+    /// Minimum time for which a server stays `leaving`, even if a delayed host
+    /// list shows it as live.
     core::duration leaving_hold = std::chrono::seconds(60);
-    /// How long an unlisted server is remembered.
+    /// Time after which a server that is no longer listed is forgotten.
     core::duration forget_after = std::chrono::minutes(10);
-    /// The most backend servers of one service that this host uses.
+    /// Most backend servers of one service that this host uses.
     std::size_t subset_limit = 32;
-    /// The most backend servers known; more are not taken in.
+    /// Most backend servers that are tracked; further ones are ignored.
     std::size_t server_limit = 4096;
 
     friend bool
--- a/libraries/membership/include/godwit/membership/pool_snapshot.hpp
+++ b/libraries/membership/include/godwit/membership/pool_snapshot.hpp
@@ -7,18 +7,18 @@
 
 namespace godwit::membership {
 
-/// All eligible backend servers at one moment; never changes, so that
-/// traffic threads share it.
+/// All eligible backend servers at one moment. Immutable, so that traffic
+/// threads can share it.
 class pool_snapshot
 {
 public:
-    /// `version` grows with each snapshot of a process; `pools` are in order
-    /// of service.
+    /// `version` increases with each snapshot of a process; `pools` are sorted
+    /// by service.
     pool_snapshot(std::uint64_t version, std::vector<service_pool> pools);
 
     [[nodiscard]] std::uint64_t version() const noexcept { return version_; }
 
-    /// The pool of a service; an empty one for an unknown service.
+    /// Returns the pool of a service; an empty one for an unknown service.
     [[nodiscard]] const service_pool&
     pool_of(const core::service_name& service) const;
 
@@ -27,7 +27,7 @@
         return pools_;
     }
 
-    /// Whether new work may go to the server.
+    /// Whether the server may get new requests.
     [[nodiscard]] bool is_eligible(
         const core::service_name& service,
         const core::server_address& server) const;
--- a/libraries/membership/include/godwit/membership/server_notice.hpp
+++ b/libraries/membership/include/godwit/membership/server_notice.hpp
@@ -4,14 +4,14 @@
 
 namespace godwit::membership {
 
-/// What one host can tell others about a backend server.
+/// A notice that hosts send each other about a backend server.
 enum class server_notice
 {
-    leaving, ///< It is leaving: give it nothing new.
-    suspect, ///< It refused a connection: look for yourself.
+    leaving, ///< It is draining: it must get no new requests.
+    suspect, ///< It refused a connection: the receiver should probe it.
 };
 
-/// The name of `value` as it appears in logs.
+/// Returns the name of `value` for logs.
 [[nodiscard]] std::string_view to_string(server_notice value) noexcept;
 
 } // namespace godwit::membership
--- a/libraries/membership/include/godwit/membership/server_state.hpp
+++ b/libraries/membership/include/godwit/membership/server_state.hpp
@@ -4,17 +4,17 @@
 
 namespace godwit::membership {
 
-/// What this host believes of one backend server.
+/// The state of a backend server as this host tracks it.
 enum class server_state
 {
     live,    ///< Eligible.
-    suspect, ///< Failed lately; eligible, but others are better.
-    ejected, ///< Not eligible for a while; probed before it comes back.
-    leaving, ///< Not eligible; what runs on it may end.
-    gone,    ///< Not listed any more and not answering.
+    suspect, ///< Failed lately; eligible, but others are preferred.
+    ejected, ///< Not eligible until a time-out ends and a probe passes.
+    leaving, ///< Draining: not eligible; running requests may finish.
+    gone,    ///< Left: no longer listed, and not responding.
 };
 
-/// The name of `value` as it appears in logs and dumps.
+/// Returns the name of `value` for logs and state dumps.
 [[nodiscard]] std::string_view to_string(server_state value) noexcept;
 
 } // namespace godwit::membership
--- a/libraries/membership/include/godwit/membership/service_pool.hpp
+++ b/libraries/membership/include/godwit/membership/service_pool.hpp
@@ -7,12 +7,12 @@
 
 namespace godwit::membership {
 
-/// The backend servers that may get new work of one service, each list in
-/// order of address.
+/// The backend servers that may get new requests of one service. Each list is
+/// sorted by address.
 struct service_pool
 {
     core::service_name service;
-    std::vector<eligible_server> own_zone; ///< To be used first.
+    std::vector<eligible_server> own_zone; ///< Preferred.
     std::vector<eligible_server> other_zones;
 
     friend bool operator==(const service_pool&, const service_pool&) = default;
--- a/libraries/membership/include/godwit/membership/service_requirement.hpp
+++ b/libraries/membership/include/godwit/membership/service_requirement.hpp
@@ -6,8 +6,8 @@
 
 namespace godwit::membership {
 
-/// What a backend server must report to be eligible for a service. Empty
-/// texts require nothing, as for a plain service.
+/// What a backend server must report to be eligible for a service. An
+/// empty string requires nothing, as for a plain service.
 struct service_requirement
 {
     core::service_name service;
--- a/libraries/membership/src/pool_emit.hpp
+++ b/libraries/membership/src/pool_emit.hpp
@@ -7,9 +7,9 @@
 namespace godwit::membership {
 
 template<class Action>
-void pool::emit(Action what)
+void pool::emit(Action requested)
 {
-    actions_.emplace_back(std::move(what));
+    actions_.emplace_back(std::move(requested));
 }
 
 } // namespace godwit::membership
--- a/libraries/membership/src/pool_health.cpp
+++ b/libraries/membership/src/pool_health.cpp
@@ -1,4 +1,4 @@
-// What is seen of the servers themselves.
+// State changes that follow from observations of the servers.
 
 #include <godwit/membership/pool.hpp>
 
@@ -8,127 +8,135 @@
 
 namespace godwit::membership {
 
-void pool::on_success(const core::server_address& server, member& known)
+void pool::on_success(const core::server_address& server, member& entry)
 {
-    known.answered_at = now_;
-    switch (known.state) {
+    entry.answered_at = now_;
+    switch (entry.state) {
     case server_state::live:
-        known.failures = 0;
+        entry.failures = 0;
         return;
     case server_state::suspect:
-        known.failures = 0;
-        move_to(server, known, server_state::live, "it answers");
+        entry.failures = 0;
+        set_state(server, entry, server_state::live, "it responds");
         return;
     case server_state::ejected:
-        // An answer to work that it got earlier ends no ejection early.
-        if (now_ < known.ejected_until)
+        // A response to a request that was sent before the ejection does not
+        // end it early.
+        if (now_ < entry.ejected_until)
             return;
-        known.failures = 0;
-        move_to(server, known, server_state::live, "it answers again");
+        entry.failures = 0;
+        set_state(
+            server,
+            entry,
+            server_state::live,
+            "it responds after the ejection");
         return;
     case server_state::leaving:
     case server_state::gone:
-        try_to_revive(server, known);
+        try_to_restore(server, entry);
         return;
     }
 }
 
-// The address of a host that left may be given to a new one.
-void pool::try_to_revive(const core::server_address& server, member& known)
+// A new host may get the address of one that left.
+void pool::try_to_restore(const core::server_address& server, member& entry)
 {
     const bool hold_is_over =
-        now_ - known.leaving_since >= settings_.leaving_hold;
-    if (!hold_is_over || !known.listed_live)
+        now_ - entry.leaving_since >= settings_.leaving_hold;
+    if (!hold_is_over || !entry.listed_live)
         return;
-    known.failures = 0;
-    known.ejections = 0;
-    move_to(server, known, server_state::live, "listed and answering again");
+    entry.failures = 0;
+    entry.ejections = 0;
+    set_state(server, entry, server_state::live, "listed and responding again");
 }
 
 void pool::on_failure(
-    const core::server_address& server, member& known, health_observation what)
+    const core::server_address& server,
+    member& entry,
+    health_observation observation)
 {
-    if (known.state == server_state::leaving) {
-        if (what == health_observation::refused ||
-            what == health_observation::probe_failed)
-            move_to(server, known, server_state::gone, to_string(what));
+    if (entry.state == server_state::leaving) {
+        if (observation == health_observation::refused ||
+            observation == health_observation::probe_failed)
+            set_state(
+                server, entry, server_state::gone, to_string(observation));
         return;
     }
-    if (known.state == server_state::gone)
+    if (entry.state == server_state::gone)
         return;
-    ++known.failures;
-    if (what == health_observation::refused &&
-        known.state == server_state::live)
+    ++entry.failures;
+    if (observation == health_observation::refused &&
+        entry.state == server_state::live)
         emit(forward_notice{server, server_notice::suspect});
-    if (known.state == server_state::ejected) {
-        // Only what happens after the ejection's end prolongs it: failures
-        // of work sent before are late news.
-        if (now_ >= known.ejected_until)
-            eject(server, known, to_string(what));
+    if (entry.state == server_state::ejected) {
+        // Only a failure after the ejection's end prolongs it: earlier ones
+        // come from requests that were sent before.
+        if (now_ >= entry.ejected_until)
+            eject(server, entry, to_string(observation));
         return;
     }
-    const bool enough = what == health_observation::refused ||
-                        known.failures >= settings_.failure_limit;
-    if (enough && may_eject(known)) {
-        eject(server, known, to_string(what));
+    const bool should_eject = observation == health_observation::refused ||
+                              entry.failures >= settings_.failure_limit;
+    if (should_eject && may_eject(entry)) {
+        eject(server, entry, to_string(observation));
         return;
     }
-    move_to(server, known, server_state::suspect, to_string(what));
+    set_state(server, entry, server_state::suspect, to_string(observation));
 }
 
 void pool::eject(
-    const core::server_address& server, member& known, std::string_view why)
+    const core::server_address& server, member& entry, std::string_view reason)
 {
-    known.ejected_until = now_ + next_ejection_time(known.ejections);
-    known.probe_due = known.ejected_until;
-    ++known.ejections;
-    move_to(server, known, server_state::ejected, why);
+    entry.ejected_until = now_ + next_ejection_time(entry.ejections);
+    entry.probe_due = entry.ejected_until;
+    ++entry.ejections;
+    set_state(server, entry, server_state::ejected, reason);
 }
 
-// Half of a service's pool stays whatever happens: when more than half seem
-// to fail, the trouble is more likely this host's own, and the rest could not
-// carry the load. It is the pool of this service that counts.
+// At most half of the servers of one service are ejected. If more than half
+// seem to fail, this host is more likely at fault, and the remaining servers
+// could not carry the load. Each service counts for itself.
 bool pool::may_eject(const member& candidate) const
 {
     std::size_t size = 0;
     std::size_t ejected = 0;
-    for (const auto& [server, known] : members_) {
-        if (known.service != candidate.service)
+    for (const auto& [server, entry] : members_) {
+        if (entry.service != candidate.service)
             continue;
-        if (known.state == server_state::leaving ||
-            known.state == server_state::gone)
+        if (entry.state == server_state::leaving ||
+            entry.state == server_state::gone)
             continue;
         ++size;
-        ejected += known.state == server_state::ejected ? 1 : 0;
+        ejected += entry.state == server_state::ejected ? 1 : 0;
     }
     return (ejected + 1) * 2 <= size;
 }
 
 core::duration pool::next_ejection_time(std::uint32_t earlier)
 {
-    core::duration time = settings_.ejection_base;
-    for (std::uint32_t done = 0;
-         done < earlier && time < settings_.ejection_limit;
-         ++done)
-        time *= 2;
-    time = std::min(time, settings_.ejection_limit);
-    // A quarter of jitter, so that hosts do not all come back at once.
-    const auto spread = static_cast<std::uint64_t>(time.count() / 4 + 1);
-    return time + core::duration(
-                      static_cast<core::duration::rep>(random_.below(spread)));
+    core::duration result = settings_.ejection_base;
+    for (std::uint32_t count = 0;
+         count < earlier && result < settings_.ejection_limit;
+         ++count)
+        result *= 2;
+    result = std::min(result, settings_.ejection_limit);
+    // Up to a quarter of jitter, so that hosts do not all retry at once.
+    const auto spread = static_cast<std::uint64_t>(result.count() / 4 + 1);
+    return result + core::duration(static_cast<core::duration::rep>(
+                        random_.below(spread)));
 }
 
 void pool::begin_leaving(
-    const core::server_address& server, member& known, std::string_view why)
+    const core::server_address& server, member& entry, std::string_view reason)
 {
-    if (known.state == server_state::leaving) {
-        known.leaving_since = now_;
+    if (entry.state == server_state::leaving) {
+        entry.leaving_since = now_;
         return;
     }
-    if (known.state == server_state::gone)
+    if (entry.state == server_state::gone)
         return;
-    known.leaving_since = now_;
-    move_to(server, known, server_state::leaving, why);
+    entry.leaving_since = now_;
+    set_state(server, entry, server_state::leaving, reason);
     emit(forward_notice{server, server_notice::leaving});
 }
 
--- a/libraries/membership/src/pool_list.cpp
+++ b/libraries/membership/src/pool_list.cpp
@@ -1,4 +1,4 @@
-// What the platform's host list changes.
+// State changes that follow from the platform's host list.
 
 #include <godwit/membership/pool.hpp>
 
@@ -9,19 +9,19 @@
 
 namespace godwit::membership {
 
-void pool::on(const host_list_read& what)
+void pool::on(const host_list_read& list)
 {
-    // An empty list is an outage of the list, not of every backend server.
-    if (what.servers.empty()) {
+    // An empty list means an outage of the host list, not of every server.
+    if (list.servers.empty()) {
         emit(host_list_implausible{members_.size(), members_.size()});
         return;
     }
-    take_unlisted(what.servers);
-    for (const auto& listed : what.servers)
-        take_listed(listed);
+    update_unlisted(list.servers);
+    for (const auto& listed : list.servers)
+        update_listed(listed);
 }
 
-void pool::take_listed(const listed_server& listed)
+void pool::update_listed(const listed_server& listed)
 {
     auto found = members_.find(listed.address);
     if (found == members_.end()) {
@@ -30,51 +30,51 @@
         found = members_.emplace(listed.address, member()).first;
         changed_ = true;
     }
-    auto& known = found->second;
-    if (known.service != listed.service || known.zone != listed.zone) {
-        known.service = listed.service;
-        known.zone = listed.zone;
+    auto& entry = found->second;
+    if (entry.service != listed.service || entry.zone != listed.zone) {
+        entry.service = listed.service;
+        entry.zone = listed.zone;
         changed_ = true;
     }
-    known.listed_at = now_;
-    known.listed_live = listed.state == listed_state::live;
-    if (!known.listed_live) {
-        begin_leaving(listed.address, known, "the host list says so");
+    entry.listed_at = now_;
+    entry.listed_live = listed.state == listed_state::live;
+    if (!entry.listed_live) {
+        begin_leaving(listed.address, entry, "host list: leaving");
         return;
     }
-    // A late list shows a server as live for a while after it began to
-    // leave, so a listing alone revives nothing that left: its own answer
-    // does, after the hold.
+    // A delayed list shows a server as live for some time after it began to
+    // leave. A listing alone therefore does not restore a server that left;
+    // only its own response after the hold time does.
 }
 
-// A server that the list leaves out is leaving, unless the list leaves out
-// more than half of what is known: then it is the list that is damaged.
-void pool::take_unlisted(const std::vector<listed_server>& listed)
+// A server that is missing from the list is leaving, unless more than half of
+// the known servers are missing: then the list is incomplete.
+void pool::update_unlisted(const std::vector<listed_server>& listed)
 {
     std::set<core::server_address> present;
     for (const auto& one : listed)
         present.insert(one.address);
     std::vector<core::server_address> missing;
-    std::size_t counted = 0;
-    for (const auto& [server, known] : members_) {
-        const bool counts = known.state != server_state::leaving &&
-                            known.state != server_state::gone;
-        counted += counts ? 1 : 0;
+    std::size_t active = 0;
+    for (const auto& [server, entry] : members_) {
+        const bool is_active = entry.state != server_state::leaving &&
+                               entry.state != server_state::gone;
+        active += is_active ? 1 : 0;
         if (!present.contains(server)) {
-            if (counts)
+            if (is_active)
                 missing.push_back(server);
             else
                 members_.at(server).listed_live = false;
         }
     }
-    if (missing.size() * 2 > counted) {
-        emit(host_list_implausible{missing.size(), counted});
+    if (missing.size() * 2 > active) {
+        emit(host_list_implausible{missing.size(), active});
         return;
     }
     for (const auto& server : missing) {
-        auto& known = members_.at(server);
-        known.listed_live = false;
-        begin_leaving(server, known, "the host list left it out");
+        auto& entry = members_.at(server);
+        entry.listed_live = false;
+        begin_leaving(server, entry, "missing from the host list");
     }
 }
 
--- a/libraries/membership/src/pool_snapshot_build.cpp
+++ b/libraries/membership/src/pool_snapshot_build.cpp
@@ -1,4 +1,4 @@
-// How the snapshot of eligible servers is made.
+// Builds the snapshot of eligible servers.
 
 #include <godwit/membership/pool.hpp>
 
@@ -20,10 +20,10 @@
 
 } // namespace
 
-// A server that never reported is eligible only where nothing is required.
-bool pool::meets_requirement(const member& known) const
+// A server without a load report is eligible only if nothing is required.
+bool pool::meets_requirement(const member& entry) const
 {
-    const auto found = requirements_.find(known.service);
+    const auto found = requirements_.find(entry.service);
     if (found == requirements_.end())
         return true;
     const auto& required = found->second;
@@ -32,33 +32,33 @@
                                   required.version.empty();
     if (requires_nothing)
         return true;
-    if (!known.report)
+    if (!entry.report)
         return false;
-    return contains(known.report->models, required.model) &&
-           contains(known.report->adapters, required.adapter) &&
+    return contains(entry.report->models, required.model) &&
+           contains(entry.report->adapters, required.adapter) &&
            (required.version.empty() ||
-            known.report->version == required.version);
+            entry.report->version == required.version);
 }
 
 void pool::refresh_snapshot()
 {
     std::map<core::service_name, service_pool> pools;
-    for (const auto& [server, known] : members_) {
-        const bool eligible = known.state == server_state::live ||
-                              known.state == server_state::suspect;
-        if (!eligible || !meets_requirement(known))
+    for (const auto& [server, entry] : members_) {
+        const bool eligible = entry.state == server_state::live ||
+                              entry.state == server_state::suspect;
+        if (!eligible || !meets_requirement(entry))
             continue;
-        auto& of_service = pools[known.service];
-        of_service.service = known.service;
-        auto& servers = known.zone == settings_.zone ? of_service.own_zone
-                                                     : of_service.other_zones;
-        servers.push_back({server, known.zone, known.state});
+        auto& candidates = pools[entry.service];
+        candidates.service = entry.service;
+        auto& servers = entry.zone == settings_.zone ? candidates.own_zone
+                                                     : candidates.other_zones;
+        servers.push_back({server, entry.zone, entry.state});
     }
     std::vector<service_pool> ordered;
     ordered.reserve(pools.size());
-    for (auto& [service, of_service] : pools) {
-        limit_to_subset(of_service);
-        ordered.push_back(std::move(of_service));
+    for (auto& [service, candidates] : pools) {
+        limit_to_subset(candidates);
+        ordered.push_back(std::move(candidates));
     }
     if (ordered == snapshot_->pools())
         return;
@@ -67,9 +67,10 @@
     emit(publish_snapshot{snapshot_});
 }
 
-// Rendezvous hashing gives each entry host a subset of its own that changes
-// by one server when one server comes or goes. The own zone goes first.
-void pool::limit_to_subset(service_pool& of_service) const
+// Rendezvous hashing gives each entry host its own subset, which changes by one
+// server when one server is added or removed. Servers of the host's own zone
+// have priority.
+void pool::limit_to_subset(service_pool& candidates) const
 {
     const auto keep_best = [&](std::vector<eligible_server>& servers,
                                std::size_t limit) {
@@ -93,10 +94,10 @@
                 return left.address < right.address;
             });
     };
-    keep_best(of_service.own_zone, settings_.subset_limit);
+    keep_best(candidates.own_zone, settings_.subset_limit);
     keep_best(
-        of_service.other_zones,
-        settings_.subset_limit - of_service.own_zone.size());
+        candidates.other_zones,
+        settings_.subset_limit - candidates.own_zone.size());
 }
 
 } // namespace godwit::membership
--- a/tests/membership/pool_test.cpp
+++ b/tests/membership/pool_test.cpp
@@ -40,16 +40,16 @@
     CPPUNIT_TEST_SUITE(pool_test);
     CPPUNIT_TEST(test_own_zone_first);
     CPPUNIT_TEST(test_empty_list_keeps_the_pool);
-    CPPUNIT_TEST(test_damaged_list_keeps_the_pool);
-    CPPUNIT_TEST(test_every_sign_of_leaving_ends_eligibility);
-    CPPUNIT_TEST(test_late_list_revives_nothing);
-    CPPUNIT_TEST(test_restarted_server_comes_back);
-    CPPUNIT_TEST(test_refusals_are_told_once);
-    CPPUNIT_TEST(test_new_peer_is_told_who_leaves);
-    CPPUNIT_TEST(test_half_of_the_pool_stays);
-    CPPUNIT_TEST(test_ejection_grows_and_ends_by_a_probe);
+    CPPUNIT_TEST(test_list_that_lacks_most_servers_keeps_the_pool);
+    CPPUNIT_TEST(test_every_report_of_leaving_ends_eligibility);
+    CPPUNIT_TEST(test_delayed_list_does_not_restore_a_leaving_server);
+    CPPUNIT_TEST(test_restarted_server_becomes_eligible);
+    CPPUNIT_TEST(test_refusal_is_forwarded_once_per_server);
+    CPPUNIT_TEST(test_new_peer_gets_notices_of_leaving_servers);
+    CPPUNIT_TEST(test_at_most_half_of_the_pool_is_ejected);
+    CPPUNIT_TEST(test_ejection_time_grows_and_a_probe_ends_it);
     CPPUNIT_TEST(test_version_must_match);
-    CPPUNIT_TEST(test_peer_suspicion_only_probes);
+    CPPUNIT_TEST(test_suspect_notice_from_a_peer_only_probes);
     CPPUNIT_TEST(test_subset_is_bounded);
     CPPUNIT_TEST_SUITE_END();
 
@@ -65,14 +65,14 @@
     }
 
 private:
-    std::vector<action> feed(const event& what)
+    std::vector<action> feed(const event& input)
     {
-        return pool_->handle(what, now_);
+        return pool_->handle(input, now_);
     }
 
-    void see(int number, health_observation what)
+    void observe(int number, health_observation observation)
     {
-        feed(server_observed{numbered(number), what});
+        feed(server_observed{numbered(number), observation});
     }
 
     [[nodiscard]] std::size_t eligible() const
@@ -108,7 +108,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
-    void test_damaged_list_keeps_the_pool()
+    void test_list_that_lacks_most_servers_keeps_the_pool()
     {
         feed(list_of(0, 2));
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
@@ -116,91 +116,91 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
     }
 
-    void test_every_sign_of_leaving_ends_eligibility()
+    void test_every_report_of_leaving_ends_eligibility()
     {
-        see(0, health_observation::leaving);
+        observe(0, health_observation::leaving);
         feed(notice_received{numbered(1), server_notice::leaving});
         feed(load_reported{numbered(2), {}, {}, "", listed_state::leaving});
         auto list = list_of(0, 6);
         list.servers[3].state = listed_state::leaving;
         const auto actions = feed(list);
         CPPUNIT_ASSERT_EQUAL(1, count<forward_notice>(actions));
-        see(4, health_observation::refused);
+        observe(4, health_observation::refused);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), eligible());
     }
 
-    void test_late_list_revives_nothing()
+    void test_delayed_list_does_not_restore_a_leaving_server()
     {
-        see(0, health_observation::leaving);
+        observe(0, health_observation::leaving);
         feed(list_of(0, 6));
-        see(0, health_observation::probe_passed);
+        observe(0, health_observation::probe_passed);
         now_ += seconds(30);
         feed(list_of(0, 6));
-        see(0, health_observation::answered);
+        observe(0, health_observation::answered);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
         now_ += seconds(31);
         feed(list_of(0, 6));
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(feed(clock_ticked{})));
-        see(0, health_observation::probe_passed);
+        observe(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
-    void test_restarted_server_comes_back()
+    void test_restarted_server_becomes_eligible()
     {
-        see(0, health_observation::leaving);
-        see(0, health_observation::refused);
+        observe(0, health_observation::leaving);
+        observe(0, health_observation::refused);
         CPPUNIT_ASSERT(pool_->state_of(numbered(0)) == server_state::gone);
         now_ += seconds(61);
         feed(list_of(0, 6));
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(feed(clock_ticked{})));
-        see(0, health_observation::probe_passed);
+        observe(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
-    void test_refusals_are_told_once()
+    void test_refusal_is_forwarded_once_per_server()
     {
-        int told = 0;
+        int notices = 0;
         for (int number = 0; number < 6; ++number) {
             for (int times = 0; times < 5; ++times)
-                told += count<forward_notice>(feed(server_observed{
+                notices += count<forward_notice>(feed(server_observed{
                     numbered(number), health_observation::refused}));
         }
-        CPPUNIT_ASSERT_EQUAL(6, told);
+        CPPUNIT_ASSERT_EQUAL(6, notices);
     }
 
-    void test_new_peer_is_told_who_leaves()
+    void test_new_peer_gets_notices_of_leaving_servers()
     {
-        see(0, health_observation::leaving);
+        observe(0, health_observation::leaving);
         CPPUNIT_ASSERT_EQUAL(1, count<forward_notice>(feed(peer_connected{})));
-        // At the peer, the sign can come before the first list.
+        // At the peer, the notice can arrive before the first list.
         feed(notice_received{numbered(6), server_notice::leaving});
         feed(list_of(0, 7));
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
     }
 
-    void test_half_of_the_pool_stays()
+    void test_at_most_half_of_the_pool_is_ejected()
     {
         for (int number = 0; number < 6; ++number) {
             for (int times = 0; times < 4; ++times)
-                see(number, health_observation::timed_out);
-            see(number, health_observation::refused);
+                observe(number, health_observation::timed_out);
+            observe(number, health_observation::refused);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), eligible());
     }
 
-    void test_ejection_grows_and_ends_by_a_probe()
+    void test_ejection_time_grows_and_a_probe_ends_it()
     {
-        see(0, health_observation::refused);
+        observe(0, health_observation::refused);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
         CPPUNIT_ASSERT_EQUAL(0, count<probe_server>(feed(clock_ticked{})));
         now_ += std::chrono::milliseconds(1250);
         CPPUNIT_ASSERT_EQUAL(1, count<probe_server>(feed(clock_ticked{})));
-        see(0, health_observation::probe_failed);
+        observe(0, health_observation::probe_failed);
         now_ += std::chrono::milliseconds(1999);
-        see(0, health_observation::probe_passed);
+        observe(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), eligible());
         now_ += std::chrono::milliseconds(600);
-        see(0, health_observation::probe_passed);
+        observe(0, health_observation::probe_passed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), eligible());
     }
 
@@ -215,7 +215,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), eligible());
     }
 
-    void test_peer_suspicion_only_probes()
+    void test_suspect_notice_from_a_peer_only_probes()
     {
         const auto actions =
             feed(notice_received{numbered(0), server_notice::suspect});
