--- a/libraries/delta/include/godwit/delta/content_digest.hpp
+++ b/libraries/delta/include/godwit/delta/content_digest.hpp
@@ -5,8 +5,8 @@
 
 namespace godwit::delta {
 
-/// The SHA-256 of a text, 32 bytes: two ends that know the same one have the
-/// same text.
+/// Returns the SHA-256 digest of a text, 32 bytes. Equal digests mean equal
+/// texts.
 [[nodiscard]] std::string content_digest(std::string_view text);
 
 } // namespace godwit::delta
