--- a/libraries/core/include/godwit/core/error.hpp
+++ b/libraries/core/include/godwit/core/error.hpp
@@ -7,7 +7,7 @@
 
 namespace godwit::core {
 
-/// A failure: what happened, and what the reader can do about it.
+/// An error with a message for people and advice on what to do about it.
 class error
 {
 public:
@@ -23,7 +23,7 @@
 
     [[nodiscard]] const std::string& remedy() const noexcept { return remedy_; }
 
-    /// "message; remedy", as one line for people.
+    /// Returns "message; remedy", or the message alone if there is no remedy.
     [[nodiscard]] std::string to_string() const;
 
     friend bool operator==(const error&, const error&) = default;
--- a/libraries/core/include/godwit/core/identifier.hpp
+++ b/libraries/core/include/godwit/core/identifier.hpp
@@ -9,8 +9,8 @@
 
 namespace godwit::core {
 
-/// A string with a meaning of its own: identifiers of different tags do not
-/// convert into each other.
+/// A strongly typed string: identifiers with different tags do not convert into
+/// each other.
 template<class Tag>
 class identifier
 {
--- a/libraries/core/include/godwit/core/identifiers.hpp
+++ b/libraries/core/include/godwit/core/identifiers.hpp
@@ -22,19 +22,19 @@
 /// An entry host, as its settings name it.
 using host_name = identifier<struct host_name_tag>;
 
-/// One run of a process on an entry host; a restart makes a new one.
+/// One incarnation of a process on an entry host; a restart makes a new one.
 using incarnation_id = identifier<struct incarnation_id_tag>;
 
 /// A backend server as "IP:port".
 using server_address = identifier<struct server_address_tag>;
 
-/// One request of a caller, chosen by the proxy that accepted it.
+/// Id of a caller's request, chosen by the proxy that accepted it.
 using request_id = identifier<struct request_id_tag>;
 
-/// One generation on an engine, chosen by the proxy that starts it.
+/// Id of a generation on an engine, chosen by the proxy that starts it.
 using generation_id = identifier<struct generation_id_tag>;
 
-/// The key with which a caller marks its retries as one request.
+/// Key by which a caller identifies retries of one request.
 using idempotency_key = identifier<struct idempotency_key_tag>;
 
 } // namespace godwit::core
--- a/libraries/core/include/godwit/core/outcome.hpp
+++ b/libraries/core/include/godwit/core/outcome.hpp
@@ -4,16 +4,16 @@
 
 namespace godwit::core {
 
-/// What a caller is told about its request in the end.
+/// The final outcome of a request, as reported to its caller.
 enum class outcome
 {
-    completed,   ///< The whole answer was delivered.
-    not_run,     ///< The request certainly did not run.
-    interrupted, ///< It ran, and part of the answer is missing.
+    completed,   ///< The whole response was delivered.
+    not_run,     ///< The request did not run.
+    interrupted, ///< It ran, but part of the response is missing.
     unknown,     ///< It may or may not have run.
 };
 
-/// The name of `value` as it appears in answers and logs.
+/// Returns the name of `value` for responses and logs.
 [[nodiscard]] std::string_view to_string(outcome value) noexcept;
 
 } // namespace godwit::core
--- a/libraries/core/include/godwit/core/random.hpp
+++ b/libraries/core/include/godwit/core/random.hpp
@@ -4,20 +4,21 @@
 
 namespace godwit::core {
 
-/// A seeded generator whose sequence is the same on every machine
-/// (splitmix64, Steele, Lea and Flood 2014). Not for secrets.
+/// A seeded random number generator with the same sequence on every machine
+/// (splitmix64, Steele, Lea and Flood 2014). Not cryptographic.
 class random
 {
 public:
     explicit random(std::uint64_t seed) noexcept : state_(seed) {}
 
-    /// The next 64 uniform bits.
+    /// Returns 64 uniformly distributed bits.
     std::uint64_t next() noexcept;
 
-    /// A uniform number below `bound`; `bound` must be above zero.
+    /// Returns a uniform integer from 0 to `bound` - 1; `bound` must be above
+    /// zero.
     std::uint64_t below(std::uint64_t bound) noexcept;
 
-    /// A uniform number in [0, 1).
+    /// Returns a uniform number in [0, 1).
     double unit() noexcept;
 
 private:
--- a/libraries/core/include/godwit/core/result.hpp
+++ b/libraries/core/include/godwit/core/result.hpp
@@ -9,7 +9,7 @@
 
 namespace godwit::core {
 
-/// A value, or the error that prevented it.
+/// A value or an error.
 template<class Value>
 using result = tl::expected<Value, error>;
 
@@ -21,8 +21,8 @@
         error(kind, std::move(message), std::move(remedy)));
 }
 
-/// The value of a result that has one; nothing of a `result<void>`.
-/// Works for the expected values of services with failures of their own, too.
+/// Returns the value of a result that has one; nothing for a `result<void>`.
+/// Works with any error type.
 template<class Value, class Failure>
 Value take_value(tl::expected<Value, Failure>&& held)
 {
--- a/libraries/core/src/hash.cpp
+++ b/libraries/core/src/hash.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// The finaliser spreads FNV's weak high bits, which rendezvous hashing
-// compares first.
+// FNV-1a mixes the high bits poorly, and rendezvous hashing compares those
+// first; the finaliser mixes them.
 std::uint64_t finalise(std::uint64_t value) noexcept
 {
     value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
--- a/libraries/core/src/random.cpp
+++ b/libraries/core/src/random.cpp
@@ -16,8 +16,8 @@
 std::uint64_t random::below(std::uint64_t bound) noexcept
 {
     assert(bound > 0);
-    // Values above the largest multiple of the bound are drawn again, so
-    // that no remainder is favoured.
+    // Rejects values above the largest multiple of `bound`, which would make
+    // some remainders more likely.
     const std::uint64_t limit = UINT64_MAX - UINT64_MAX % bound;
     std::uint64_t value = next();
     while (value >= limit)
--- a/tests/core/hash_test.cpp
+++ b/tests/core/hash_test.cpp
@@ -11,14 +11,14 @@
 class hash_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(hash_test);
-    CPPUNIT_TEST(test_same_on_every_host);
-    CPPUNIT_TEST(test_rendezvous_spreads_evenly);
+    CPPUNIT_TEST(test_hash_depends_on_text_and_seed_only);
+    CPPUNIT_TEST(test_rendezvous_hashing_balances_keys);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_same_on_every_host()
+    void test_hash_depends_on_text_and_seed_only()
     {
-        // Two releases of the system must agree on owners, so the values
-        // are fixed here.
+        // Two releases of the system must agree on the owner of a key, so the
+        // hash must not vary between processes.
         CPPUNIT_ASSERT(
             godwit::core::stable_hash("") == godwit::core::stable_hash("", 0));
         CPPUNIT_ASSERT(
@@ -28,7 +28,7 @@
             godwit::core::stable_hash("a", 2));
     }
 
-    void test_rendezvous_spreads_evenly()
+    void test_rendezvous_hashing_balances_keys()
     {
         constexpr std::size_t node_count = 6;
         constexpr int key_count = 6000;
--- a/tests/core/suspended_machine_test.cpp
+++ b/tests/core/suspended_machine_test.cpp
@@ -31,7 +31,7 @@
         CPPUNIT_ASSERT(passed < seconds(6));
     }
 
-    // The kernel does not wake the event loop for the expired deadline, so a
+    // The kernel does not wake the event loop for the expired deadline; a
     // second timer does.
     void test_timer_expired_during_suspension_fires()
     {
