--- a/libraries/telemetry/include/godwit/telemetry/bounded_sink.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/bounded_sink.hpp
@@ -10,24 +10,23 @@
 
 namespace godwit::telemetry {
 
-/// How many lines a sink passes on.
+/// Rate limit of a sink.
 struct bounded_sink_limits
 {
-    double lines_per_second = 400; ///< In the long run.
-    double burst_lines = 2000;     ///< That may come at once.
+    double lines_per_second = 400; ///< Sustained rate.
+    double burst_lines = 2000;     ///< Lines that may be written at once.
 
     friend bool operator==(
         const bounded_sink_limits&, const bounded_sink_limits&) = default;
 };
 
-/// Writes whole lines to a descriptor without ever waiting for its reader.
-/// Lines beyond the limits, and lines that the reader has no room for, are
-/// left out; the next line that is written says how many. Safe from every
-/// thread.
+/// Writes whole lines to a file descriptor without blocking. Drops lines over
+/// the rate limit and lines that do not fit into the pipe's buffer; a notice
+/// before the next written line says how many. Thread-safe.
 class bounded_sink
 {
 public:
-    /// `make_notice` writes the line that says how many were left out.
+    /// `make_notice` makes the line that reports the number of dropped lines.
     bounded_sink(
         int descriptor,
         bounded_sink_limits limits,
@@ -36,25 +35,25 @@
     bounded_sink(const bounded_sink&) = delete;
     bounded_sink& operator=(const bounded_sink&) = delete;
 
-    /// Writes one line with its line break.
+    /// Writes a line, which ends with its line break, or drops it.
     void write(std::string_view line, core::time_point now);
 
-    /// Lines left out since the start.
+    /// Number of lines dropped since the start.
     [[nodiscard]] std::uint64_t dropped_lines() const;
 
 private:
-    [[nodiscard]] bool may_write(core::time_point now);
-    [[nodiscard]] bool has_room() const;
+    [[nodiscard]] bool take_token(core::time_point now);
+    [[nodiscard]] bool is_writable() const;
     void write_now(std::string_view line);
 
     int descriptor_;
     bounded_sink_limits limits_;
     std::function<std::string(std::uint64_t)> make_notice_;
     mutable std::mutex mutex_;
-    double allowance_;
-    core::time_point accrued_at_{};
-    std::uint64_t left_out_ = 0;
-    std::uint64_t unsaid_ = 0;
+    double tokens_;
+    core::time_point refilled_at_{};
+    std::uint64_t dropped_lines_ = 0;
+    std::uint64_t unreported_lines_ = 0;
 };
 
 } // namespace godwit::telemetry
--- a/libraries/telemetry/include/godwit/telemetry/labels.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/labels.hpp
@@ -7,8 +7,8 @@
 
 namespace godwit::telemetry {
 
-/// What a measurement is told apart by. Nothing that grows with callers or
-/// requests may become a label, so there are only these.
+/// The labels of a metric. Nothing whose number of values grows with callers or
+/// requests may become a label, to bound the cardinality.
 struct labels
 {
     core::service_name service;
--- a/libraries/telemetry/include/godwit/telemetry/log.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/log.hpp
@@ -9,25 +9,25 @@
 
 namespace godwit::telemetry {
 
-/// Where the log goes.
+/// The destination of the log.
 enum class log_target
 {
-    standard_error,  ///< Each line, waiting for the reader where it must.
-    standard_output, ///< Bounded and without waiting, see `bounded_sink`.
+    standard_error,  ///< Writes every line; blocks if the reader is slow.
+    standard_output, ///< Rate-limited and non-blocking, see `bounded_sink`.
 };
 
-/// Sends events of `lowest` and above to `target`, one line each:
+/// Writes events of level `lowest` and above to `target`, one line each:
 /// `time=... level=... component=... host=... zone=... event=... key=value`.
-/// Call once, before the first thread that logs. From then on a write to a
-/// pipe that nobody reads fails instead of ending the process.
+/// Call once, before the first thread that logs. Also ignores SIGPIPE, so that
+/// a write to a pipe without a reader fails instead of ending the process.
 void start_log(
     log_level lowest,
     const core::host_name& host,
     const core::zone_name& zone,
     log_target target = log_target::standard_error);
 
-/// Logs one event of `component`. Safe from every thread; nothing is
-/// written before `start_log`.
+/// Logs an event of `component`. Thread-safe; nothing is written before
+/// `start_log`.
 void log_event(
     log_level level,
     std::string_view component,
--- a/libraries/telemetry/include/godwit/telemetry/log_connection_fault.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/log_connection_fault.hpp
@@ -4,7 +4,7 @@
 
 namespace godwit::telemetry {
 
-/// Logs a fault at the connection of `peer`, which ended with it.
+/// Logs a fault that ended the connection of `peer`.
 void log_connection_fault(std::string_view peer, std::string_view fault);
 
 } // namespace godwit::telemetry
--- a/libraries/telemetry/include/godwit/telemetry/log_level.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/log_level.hpp
@@ -2,12 +2,12 @@
 
 namespace godwit::telemetry {
 
-/// How much an event matters to whoever is on call.
+/// Severity of a log event.
 enum class log_level
 {
-    debug,   ///< For finding faults; off as a rule.
-    info,    ///< The ordinary course of things.
-    warning, ///< Handled, but somebody should know.
+    debug,   ///< For debugging; usually off.
+    info,    ///< Normal operation.
+    warning, ///< A problem that was handled, of interest to operators.
     error,   ///< Something was lost or refused that should not be.
 };
 
--- a/libraries/telemetry/include/godwit/telemetry/log_line.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/log_line.hpp
@@ -9,16 +9,17 @@
 
 namespace godwit::telemetry {
 
-/// The longest value of a log field, in bytes; the rest is cut and marked.
+/// Longest value of a log field, in bytes; a longer one is truncated and ends
+/// with "...".
 inline constexpr std::size_t max_log_value_bytes = 512;
 
-/// The longest line, in bytes; the fields that do not fit are left out and
-/// counted in `fields_left_out`.
+/// Longest line, in bytes; fields that do not fit are omitted and counted in
+/// `fields_left_out`.
 inline constexpr std::size_t max_log_line_bytes = 4096;
 
-/// The text of an event: `event=NAME key=value ...`. A value that is empty
-/// or holds a space, quote, equals sign, backslash or control byte is
-/// quoted, with C's escapes.
+/// Formats an event: `event=NAME key=value ...`. A value that is empty or
+/// contains a space, quote, equals sign, backslash or control byte is quoted,
+/// with C escapes.
 [[nodiscard]] std::string
 log_line(std::string_view event, std::initializer_list<log_field> fields);
 
--- a/libraries/telemetry/include/godwit/telemetry/metrics.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/metrics.hpp
@@ -15,53 +15,54 @@
 
 namespace godwit::telemetry {
 
-/// The measurements of one process, in Prometheus' terms. Safe from every
-/// thread. References stay valid as long as the object lives; take them once
-/// per stream rather than per token.
+/// The Prometheus metrics of a process. Thread-safe. References stay valid as
+/// long as the object; get them once per stream rather than per token, because
+/// each lookup takes a lock.
 class metrics
 {
 public:
-    /// Metrics that are told apart by at most `max_label_sets` pairs of
-    /// service and class; further ones are counted under "other".
+    /// Metrics with at most `max_label_sets` pairs of service and class;
+    /// further pairs are counted under "other".
     static std::unique_ptr<metrics>
     create(std::size_t max_label_sets = default_max_label_sets);
 
-    /// The counter `name` for `by`. The first call gives the help text.
+    /// Returns the counter `name` with the labels `by`. The first call sets the
+    /// help text.
     prometheus::Counter&
     counter(const std::string& name, const std::string& help, const labels& by);
 
-    /// A counter of the whole process.
+    /// Returns a counter without labels.
     prometheus::Counter&
     counter(const std::string& name, const std::string& help);
 
-    /// A gauge of the whole process.
+    /// Returns a gauge without labels.
     prometheus::Gauge& gauge(const std::string& name, const std::string& help);
 
-    /// The histogram `name`, in seconds, for `by`.
+    /// Returns the histogram `name`, in seconds, with the labels `by`.
     prometheus::Histogram& seconds_histogram(
         const std::string& name, const std::string& help, const labels& by);
 
-    /// All values in Prometheus' text format.
+    /// Returns all metrics in Prometheus' text format.
     [[nodiscard]] std::string serialise() const;
 
-    /// The content type of `serialise`.
+    /// Content type of the text that `serialise` returns.
     static constexpr const char* content_type = "text/plain; version=0.0.4";
 
     static constexpr std::size_t default_max_label_sets = 256;
 
 private:
-    struct by_name
+    struct label_order
     {
         bool operator()(const labels& left, const labels& right) const;
     };
 
     explicit metrics(std::size_t max_label_sets);
 
-    [[nodiscard]] prometheus::Labels admitted(const labels& by);
+    [[nodiscard]] prometheus::Labels bounded_labels(const labels& by);
 
     std::size_t max_label_sets_;
     std::mutex mutex_;
-    std::set<labels, by_name> label_sets_;
+    std::set<labels, label_order> label_sets_;
     prometheus::Registry registry_;
 };
 
--- a/libraries/telemetry/include/godwit/telemetry/read_log_level.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/read_log_level.hpp
@@ -6,8 +6,8 @@
 
 namespace godwit::telemetry {
 
-/// The key `log_level` of a program's settings, `info` where it is missing.
-/// Fails with `invalid_input` naming the levels.
+/// Reads the key `log_level` of a program's settings, `info` if it is missing.
+/// Fails with `invalid_input` and a list of the levels.
 [[nodiscard]] core::result<log_level> read_log_level(settings::reader& from);
 
 } // namespace godwit::telemetry
--- a/libraries/telemetry/include/godwit/telemetry/request_metrics.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/request_metrics.hpp
@@ -9,31 +9,31 @@
 
 namespace godwit::telemetry {
 
-/// Measures one request for the three measures: stall time, preemptions and
-/// gaps between tokens. Used on the request's strand.
+/// Records the metrics of one request: stall time, preemptions and gaps between
+/// tokens. Not thread-safe; used on the request's strand.
 class request_metrics
 {
 public:
     request_metrics(
-        metrics& into,
+        metrics& target,
         core::service_name service,
         core::request_class_name request_class,
         core::time_point accepted_at);
 
-    /// Tokens were handed to the caller, or collected for it.
+    /// Tokens were delivered to the caller, or buffered for it.
     void tokens_arrived(core::time_point now);
 
-    /// An engine pushed the generation off.
+    /// An engine preempted the generation.
     void preempted();
 
-    /// An answer that belonged to another request was dropped.
+    /// A response that belongs to another request was dropped.
     void crossed();
 
     /// The request ended.
     void finished(core::outcome outcome, core::time_point now);
 
 private:
-    metrics& into_;
+    metrics& metrics_;
     labels labels_;
     prometheus::Histogram& gaps_;
     core::time_point accepted_at_;
--- a/libraries/telemetry/include/godwit/telemetry/state_dump.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/state_dump.hpp
@@ -13,11 +13,12 @@
 
 namespace godwit::telemetry {
 
-/// What `/state` answers: the process, and a section per part of it.
+/// The response of `/state`: the process, and a section per component.
 class state_dump
 {
 public:
-    /// A dump of the run `incarnation` of `program` on `host` in `zone`.
+    /// A dump of the incarnation `incarnation` of `program` on `host` in
+    /// `zone`.
     state_dump(
         std::string_view program,
         std::string_view version,
@@ -25,14 +26,15 @@
         const core::zone_name& zone,
         const core::incarnation_id& incarnation);
 
-    /// Adds a section; one of the same name is replaced.
+    /// Adds a section; replaces one with the same name.
     state_dump& add(std::string_view section, boost::json::value content);
 
-    /// The dump as JSON.
+    /// Returns the dump as JSON.
     [[nodiscard]] std::string to_string() const;
 
-    /// A list of the first `max_items` of `items`, each through `convert`,
-    /// as `{"count", "shown", "items"}`, so that a dump stays readable.
+    /// Returns the first `max_items` of `items`, each converted by `convert`,
+    /// as
+    /// `{"count", "shown", "items"}`. The limit keeps a dump readable.
     template<std::ranges::sized_range Range, class Convert>
     [[nodiscard]] static boost::json::object
     list(const Range& items, Convert convert, std::size_t max_items = 200)
--- a/libraries/telemetry/src/crash_handlers.cpp
+++ b/libraries/telemetry/src/crash_handlers.cpp
@@ -17,26 +17,27 @@
 
 constexpr std::array fatal_signals{SIGABRT, SIGSEGV, SIGBUS, SIGFPE, SIGILL};
 
-// The line's beginning, made ahead: a signal handler may not allocate.
-std::string beginning; // NOLINT(cert-err58-cpp)
+// The start of the log line, built in advance because a signal handler must not
+// allocate memory.
+std::string line_prefix; // NOLINT(cert-err58-cpp)
 
 void write_all(std::string_view text)
 {
-    // There is nobody to tell about a failure of the last words.
+    // A failure to write the last line cannot be reported.
     [[maybe_unused]] const auto written =
         ::write(STDOUT_FILENO, text.data(), text.size());
 }
 
-extern "C" void say_signal(int number)
+extern "C" void log_signal(int number)
 {
     constexpr int base = 10;
     const std::array digits{
         static_cast<char>('0' + number / base),
         static_cast<char>('0' + number % base),
         '\n'};
-    write_all(beginning);
+    write_all(line_prefix);
     write_all(std::string_view(digits.data(), digits.size()));
-    // Ends as it would have without this handler, with the signal's status.
+    // The process still ends by this signal, as without the handler.
     std::signal(number, SIG_DFL);
     std::raise(number);
 }
@@ -55,7 +56,7 @@
     }
 }
 
-[[noreturn]] void say_exception()
+[[noreturn]] void log_exception()
 {
     log_event(
         log_level::error,
@@ -70,11 +71,11 @@
 void install_crash_handlers(
     const core::host_name& host, const core::zone_name& zone)
 {
-    beginning = "level=ERROR component=process host=" + host.value() +
-                " zone=" + zone.value() + " event=fatal signal=";
+    line_prefix = "level=ERROR component=process host=" + host.value() +
+                  " zone=" + zone.value() + " event=fatal signal=";
     for (const int number : fatal_signals)
-        std::signal(number, &say_signal);
-    std::set_terminate(&say_exception);
+        std::signal(number, &log_signal);
+    std::set_terminate(&log_exception);
 }
 
 } // namespace godwit::telemetry
--- a/libraries/telemetry/src/log.cpp
+++ b/libraries/telemetry/src/log.cpp
@@ -38,8 +38,8 @@
     return log4cxx::Level::getInfo();
 }
 
-// The layout's own directives begin with a percent sign.
-std::string literal(const std::string& text)
+// Escapes percent signs, which start the layout's conversion patterns.
+std::string escape_percent(const std::string& text)
 {
     std::string quoted;
     for (const char byte : text) {
@@ -68,12 +68,13 @@
     const core::zone_name& zone,
     log_target target)
 {
-    // A reader that ends, even between the sink's look and its write, makes
-    // that write fail; it must not end the process and all that it serves.
+    // If the reader ends, even between the sink's poll and its write, the write
+    // must fail rather than end the process and every request that it serves.
     std::signal(SIGPIPE, SIG_IGN);
     const std::string pattern =
         "time=%d{yyyy-MM-ddTHH:mm:ss.SSS} level=%p component=%c{1} host=" +
-        literal(host.value()) + " zone=" + literal(zone.value()) + " %m%n";
+        escape_percent(host.value()) + " zone=" + escape_percent(zone.value()) +
+        " %m%n";
     const auto layout = std::make_shared<log4cxx::PatternLayout>(pattern);
     const log4cxx::AppenderPtr appender = make_appender(layout, target);
     const auto root = log4cxx::Logger::getLogger(std::string(root_name));
--- a/libraries/telemetry/src/log_line.cpp
+++ b/libraries/telemetry/src/log_line.cpp
@@ -31,18 +31,18 @@
     }
 }
 
-std::string written(const std::string& value)
+std::string format_value(const std::string& value)
 {
-    const bool cut = value.size() > max_log_value_bytes;
+    const bool is_truncated = value.size() > max_log_value_bytes;
     const std::string_view kept =
         std::string_view(value).substr(0, max_log_value_bytes);
-    if (!cut && !kept.empty() &&
+    if (!is_truncated && !kept.empty() &&
         std::all_of(kept.begin(), kept.end(), is_plain))
         return value;
     std::string text = "\"";
     for (const char byte : kept)
         append_escaped(text, byte);
-    text += cut ? "...\"" : "\"";
+    text += is_truncated ? "...\"" : "\"";
     return text;
 }
 
@@ -52,12 +52,12 @@
 log_line(std::string_view event, std::initializer_list<log_field> fields)
 {
     std::string line = "event=" + std::string(event);
-    std::size_t left_out = 0;
+    std::size_t omitted_fields = 0;
     for (const auto& field : fields) {
-        const std::string value = written(field.value());
+        const std::string value = format_value(field.value());
         if (line.size() + field.key().size() + value.size() + 2 >
             max_log_line_bytes) {
-            ++left_out;
+            ++omitted_fields;
             continue;
         }
         line += ' ';
@@ -65,8 +65,8 @@
         line += '=';
         line += value;
     }
-    if (left_out > 0)
-        line += " fields_left_out=" + std::to_string(left_out);
+    if (omitted_fields > 0)
+        line += " fields_left_out=" + std::to_string(omitted_fields);
     return line;
 }
 
--- a/libraries/telemetry/src/metrics.cpp
+++ b/libraries/telemetry/src/metrics.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// From a token's usual gap (tens of milliseconds) to the longest stall that
-// a caller sits through, about a factor of two apart.
+// From the usual gap between tokens (tens of milliseconds) to the longest stall
+// that a caller waits out, in steps of about a factor of two.
 const prometheus::Histogram::BucketBoundaries& second_buckets()
 {
     static const prometheus::Histogram::BucketBoundaries bounds = {
@@ -38,7 +38,8 @@
 
 } // namespace
 
-bool metrics::by_name::operator()(const labels& left, const labels& right) const
+bool metrics::label_order::operator()(
+    const labels& left, const labels& right) const
 {
     return std::tie(left.service, left.request_class) <
            std::tie(right.service, right.request_class);
@@ -52,7 +53,7 @@
     return std::unique_ptr<metrics>(new metrics(max_label_sets));
 }
 
-prometheus::Labels metrics::admitted(const labels& by)
+prometheus::Labels metrics::bounded_labels(const labels& by)
 {
     labels pair{by.service, by.request_class};
     {
@@ -79,7 +80,7 @@
 {
     auto& family =
         prometheus::BuildCounter().Name(name).Help(help).Register(registry_);
-    return family.Add(admitted(by));
+    return family.Add(bounded_labels(by));
 }
 
 prometheus::Counter&
@@ -107,7 +108,7 @@
 {
     auto& family =
         prometheus::BuildHistogram().Name(name).Help(help).Register(registry_);
-    return family.Add(admitted(by), second_buckets());
+    return family.Add(bounded_labels(by), second_buckets());
 }
 
 std::string metrics::serialise() const
--- a/libraries/telemetry/src/request_metrics.cpp
+++ b/libraries/telemetry/src/request_metrics.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-double seconds(core::duration span)
+double seconds(core::duration duration)
 {
-    return std::chrono::duration<double>(span).count();
+    return std::chrono::duration<double>(duration).count();
 }
 
 } // namespace
 
 request_metrics::request_metrics(
-    metrics& into,
+    metrics& target,
     core::service_name service,
     core::request_class_name request_class,
     core::time_point accepted_at)
-    : into_(into), labels_{std::move(service), std::move(request_class)},
-      gaps_(into.seconds_histogram(
+    : metrics_(target), labels_{std::move(service), std::move(request_class)},
+      gaps_(target.seconds_histogram(
           "godwit_token_gap_seconds",
           "Time between two arrivals of tokens of one generation.",
           labels_)),
@@ -35,7 +35,7 @@
     if (last_token_at_)
         gaps_.Observe(seconds(waited));
     else
-        into_
+        metrics_
             .seconds_histogram(
                 "godwit_first_token_seconds",
                 "Time from a generation's arrival to its first token.",
@@ -46,7 +46,7 @@
 
 void request_metrics::preempted()
 {
-    into_
+    metrics_
         .counter(
             "godwit_preemptions_total",
             "Generations that an engine pushed off.",
@@ -56,7 +56,7 @@
 
 void request_metrics::crossed()
 {
-    into_
+    metrics_
         .counter(
             "godwit_crossed_answers_total",
             "Answers dropped because they carried another request's id.",
@@ -68,13 +68,13 @@
 {
     const auto waited = now - last_token_at_.value_or(accepted_at_);
     longest_wait_ = std::max(longest_wait_, waited);
-    into_
+    metrics_
         .seconds_histogram(
             "godwit_stall_seconds",
             "The longest time in one request with nothing arriving.",
             labels_)
         .Observe(seconds(longest_wait_));
-    into_
+    metrics_
         .seconds_histogram(
             "godwit_request_seconds",
             "Time from a request's arrival to its end.",
@@ -82,7 +82,8 @@
         .Observe(seconds(now - accepted_at_));
     auto by_outcome = labels_;
     by_outcome.outcome = outcome;
-    into_.counter("godwit_requests_total", "Requests that ended.", by_outcome)
+    metrics_
+        .counter("godwit_requests_total", "Requests that ended.", by_outcome)
         .Increment();
 }
 
--- a/libraries/telemetry/src/sink_appender.cpp
+++ b/libraries/telemetry/src/sink_appender.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-std::string notice(std::uint64_t left_out)
+std::string notice(std::uint64_t dropped_lines)
 {
-    return "event=log_lines_left_out count=" + std::to_string(left_out) + "\n";
+    return "event=log_lines_left_out count=" + std::to_string(dropped_lines) +
+           "\n";
 }
 
 } // namespace
--- a/libraries/telemetry/src/sink_appender.hpp
+++ b/libraries/telemetry/src/sink_appender.hpp
@@ -8,7 +8,7 @@
 
 namespace godwit::telemetry {
 
-/// Hands the lines of log4cxx to a bounded sink.
+/// A log4cxx appender that writes to a bounded sink.
 class sink_appender : public log4cxx::AppenderSkeleton
 {
 public:
@@ -27,7 +27,7 @@
         log4cxx::helpers::Pool& pool) override;
 
 private:
-    // The base class of liblog4cxx 1.0 loses the layout that it is given.
+    // The base class of liblog4cxx 1.0 does not keep the layout that it gets.
     log4cxx::LayoutPtr layout_;
     bounded_sink sink_;
 };
--- a/tests/telemetry/crash_handlers_test.cpp
+++ b/tests/telemetry/crash_handlers_test.cpp
@@ -1,5 +1,6 @@
-// A process that ends by a fault takes every request along that it had. Its
-// log held nothing but the start of the next one; now the last line says why.
+// Guards against crashes without a trace: a crash ends every request of the
+// process, and the log showed only the start of the next process. The last line
+// of the log must name the cause.
 
 #include <godwit/telemetry/crash_handlers.hpp>
 #include <godwit/telemetry/log.hpp>
@@ -22,18 +23,19 @@
 class crash_handlers_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(crash_handlers_test);
-    CPPUNIT_TEST(test_a_fatal_signal_is_said);
-    CPPUNIT_TEST(test_an_uncaught_exception_is_said);
+    CPPUNIT_TEST(test_fatal_signal_is_logged);
+    CPPUNIT_TEST(test_uncaught_exception_is_logged);
     CPPUNIT_TEST_SUITE_END();
 
-    struct ending
+    struct process_end
     {
-        std::string said;
+        std::string output;
         int signal = 0;
     };
 
-    /// What a process says that does `fault`, and the signal that ends it.
-    static ending end_by(const std::function<void()>& fault)
+    /// Runs `fault` in a child process; returns its output and the signal that
+    /// ended it.
+    static process_end run_to_crash(const std::function<void()>& fault)
     {
         std::array<int, 2> ends{};
         CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends.data()));
@@ -52,43 +54,42 @@
             ::_exit(0);
         }
         ::close(ends[1]);
-        ending seen;
+        process_end result;
         std::array<char, 4096> bytes{};
         ssize_t count = 0;
         while ((count = ::read(ends[0], bytes.data(), bytes.size())) > 0)
-            seen.said.append(bytes.data(), static_cast<std::size_t>(count));
+            result.output.append(bytes.data(), static_cast<std::size_t>(count));
         ::close(ends[0]);
         int status = 0;
         CPPUNIT_ASSERT_EQUAL(child, ::waitpid(child, &status, 0));
-        seen.signal = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
-        return seen;
+        result.signal = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
+        return result;
     }
 
-    void test_a_fatal_signal_is_said()
+    void test_fatal_signal_is_logged()
     {
-        const ending seen = end_by([] { std::raise(SIGSEGV); });
-        CPPUNIT_ASSERT_EQUAL(SIGSEGV, seen.signal);
+        const process_end result = run_to_crash([] { std::raise(SIGSEGV); });
+        CPPUNIT_ASSERT_EQUAL(SIGSEGV, result.signal);
         CPPUNIT_ASSERT_EQUAL(
             std::string("level=ERROR component=process host=h1 zone=east "
                         "event=fatal signal=11\n"),
-            seen.said);
+            result.output);
     }
 
-    static void run_without_a_catch(const std::function<void()>& step) noexcept
+    static void call_noexcept(const std::function<void()>& step) noexcept
     {
         step();
     }
 
-    void test_an_uncaught_exception_is_said()
+    void test_uncaught_exception_is_logged()
     {
-        const ending seen = end_by([] {
-            run_without_a_catch([] { throw std::runtime_error("a fault"); });
-        });
-        CPPUNIT_ASSERT_EQUAL(SIGABRT, seen.signal);
+        const process_end result = run_to_crash(
+            [] { call_noexcept([] { throw std::runtime_error("a fault"); }); });
+        CPPUNIT_ASSERT_EQUAL(SIGABRT, result.signal);
         CPPUNIT_ASSERT(
-            seen.said.find("event=uncaught cause=\"a fault\"") !=
+            result.output.find("event=uncaught cause=\"a fault\"") !=
             std::string::npos);
-        CPPUNIT_ASSERT(seen.said.ends_with("event=fatal signal=06\n"));
+        CPPUNIT_ASSERT(result.output.ends_with("event=fatal signal=06\n"));
     }
 };
 
--- a/tests/telemetry/lost_reader_test.cpp
+++ b/tests/telemetry/lost_reader_test.cpp
@@ -1,8 +1,8 @@
-// Whoever reads a program's log may end at any time. The sink looks whether
-// the reader is there before it writes, but a reader that ends between the
-// look and the write makes the write raise SIGPIPE, which ends the process
-// and everything that it serves. The log to standard error does not even
-// look. A lost reader may cost lines, nothing else.
+// Guards against a SIGPIPE that ends the process. The reader of a program's log
+// may end at any time. The sink polls before it writes, but if the reader ends
+// between the poll and the write, the write raises SIGPIPE, which ends the
+// process and every request that it serves. The log to standard error does not
+// poll at all. A lost reader may cost log lines, nothing else.
 
 #include <godwit/telemetry/log.hpp>
 
@@ -20,19 +20,19 @@
 using namespace godwit;
 using telemetry::log_target;
 
-constexpr int went_on = 7;
+constexpr int survived_exit_code = 7;
 
 class lost_reader_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(lost_reader_test);
-    CPPUNIT_TEST(test_a_reader_that_ends_before_a_write_to_standard_output);
-    CPPUNIT_TEST(test_a_reader_that_ends_before_a_line_to_standard_error);
+    CPPUNIT_TEST(test_process_survives_write_to_closed_standard_output);
+    CPPUNIT_TEST(test_process_survives_log_to_closed_standard_error);
     CPPUNIT_TEST_SUITE_END();
 
-    // How a process ends that logs to a pipe without a reader, and then does
-    // `then`.
-    static int
-    end_of(log_target target, int descriptor, const std::function<void()>& then)
+    // Forks a process whose log goes to a pipe without a reader, runs `action`
+    // in it and returns its wait status.
+    static int run_child(
+        log_target target, int descriptor, const std::function<void()>& action)
     {
         const pid_t child = ::fork();
         if (child == 0) {
@@ -45,33 +45,34 @@
                 core::zone_name("east"),
                 target);
             ::close(ends[0]);
-            then();
-            ::_exit(is_set ? went_on : 1);
+            action();
+            ::_exit(is_set ? survived_exit_code : 1);
         }
         int status = 0;
         CPPUNIT_ASSERT_EQUAL(child, ::waitpid(child, &status, 0));
         return status;
     }
 
-    static void check(int status)
+    static void check_survived(int status)
     {
         CPPUNIT_ASSERT_MESSAGE("ended by a signal", WIFEXITED(status));
-        CPPUNIT_ASSERT_EQUAL(went_on, WEXITSTATUS(status));
+        CPPUNIT_ASSERT_EQUAL(survived_exit_code, WEXITSTATUS(status));
     }
 
-    // The write alone, as the sink does it after its look.
-    void test_a_reader_that_ends_before_a_write_to_standard_output()
+    // Only the write, as the sink does it after its poll.
+    void test_process_survives_write_to_closed_standard_output()
     {
-        check(end_of(log_target::standard_output, STDOUT_FILENO, [] {
-            const char line = '\n';
-            if (::write(STDOUT_FILENO, &line, 1) >= 0 || errno != EPIPE)
-                ::_exit(1);
-        }));
+        check_survived(
+            run_child(log_target::standard_output, STDOUT_FILENO, [] {
+                const char line = '\n';
+                if (::write(STDOUT_FILENO, &line, 1) >= 0 || errno != EPIPE)
+                    ::_exit(1);
+            }));
     }
 
-    void test_a_reader_that_ends_before_a_line_to_standard_error()
+    void test_process_survives_log_to_closed_standard_error()
     {
-        check(end_of(log_target::standard_error, STDERR_FILENO, [] {
+        check_survived(run_child(log_target::standard_error, STDERR_FILENO, [] {
             telemetry::log_event(telemetry::log_level::error, "test", "line");
         }));
     }
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -26,15 +26,15 @@
 class telemetry_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(telemetry_test);
-    CPPUNIT_TEST(test_one_line_whatever_the_values);
-    CPPUNIT_TEST(test_length_is_bounded);
+    CPPUNIT_TEST(test_special_characters_are_escaped);
+    CPPUNIT_TEST(test_long_value_is_truncated);
     CPPUNIT_TEST(test_label_sets_are_bounded);
     CPPUNIT_TEST(test_dump_lists_are_bounded);
     CPPUNIT_TEST(test_a_full_pipe_does_not_block_the_log);
-    CPPUNIT_TEST(test_log_lines_are_bounded_by_time);
+    CPPUNIT_TEST(test_log_rate_is_limited);
     CPPUNIT_TEST_SUITE_END();
 
-    void test_one_line_whatever_the_values()
+    void test_special_characters_are_escaped()
     {
         CPPUNIT_ASSERT_EQUAL(
             std::string(R"(event=e n=3 ok=true s=a q="x \"y\"=\n\x01" z="")"),
@@ -47,7 +47,7 @@
                  {"z", ""}}));
     }
 
-    void test_length_is_bounded()
+    void test_long_value_is_truncated()
     {
         const std::string huge(100000, 'a');
         const auto line = log_line("e", {{"a", huge}, {"b", 1}});
@@ -101,19 +101,19 @@
         CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends.data()));
         bounded_sink sink(ends[1], {1e9, 1e9}, &notice);
         const std::string line = std::string(999, 'x') + "\n";
-        // A pipe holds 64 KiB; the test would hang here if a write waited.
+        // A pipe holds 64 KiB; the test would hang here if a write blocked.
         for (int count = 0; count < 1000; ++count)
             sink.write(line, time_point());
         CPPUNIT_ASSERT(sink.dropped_lines() > 900);
-        const std::uint64_t left_out = sink.dropped_lines();
+        const std::uint64_t dropped = sink.dropped_lines();
         drain(ends[0]);
         sink.write("end\n", time_point());
-        CPPUNIT_ASSERT_EQUAL(notice(left_out) + "end\n", drain(ends[0]));
+        CPPUNIT_ASSERT_EQUAL(notice(dropped) + "end\n", drain(ends[0]));
         ::close(ends[0]);
         ::close(ends[1]);
     }
 
-    void test_log_lines_are_bounded_by_time()
+    void test_log_rate_is_limited()
     {
         std::array<int, 2> ends{};
         CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends.data()));
