--- a/libraries/settings/include/godwit/settings/address.hpp
+++ b/libraries/settings/include/godwit/settings/address.hpp
@@ -9,24 +9,24 @@
 
 namespace godwit::settings {
 
-/// An IP number and a port, as in "127.0.0.1:8080" or "[::1]:8080".
+/// An IP address and a port, as in "127.0.0.1:8080" or "[::1]:8080".
 class address
 {
 public:
-    /// Reads "IP:port". Names of hosts are refused: a process reaches its
-    /// peers by IP numbers. Fails with `invalid_input`.
+    /// Parses "IP:port". Host names are refused, because processes reach their
+    /// peers by IP address. Fails with `invalid_input`.
     static core::result<address> parse(std::string_view text);
 
-    /// The IP number without brackets.
+    /// The IP address without brackets.
     [[nodiscard]] const std::string& ip() const noexcept { return ip_; }
 
     /// The port; 0 lets the operating system choose one to listen on.
     [[nodiscard]] std::uint16_t port() const noexcept { return port_; }
 
-    /// The same IP number with another port.
+    /// Returns the same IP address with another port.
     [[nodiscard]] address with_port(std::uint16_t port) const;
 
-    /// "IP:port", with brackets around an IPv6 number.
+    /// Returns "IP:port", with brackets around an IPv6 address.
     [[nodiscard]] std::string to_string() const;
 
     friend bool operator==(const address&, const address&) = default;
--- a/libraries/settings/include/godwit/settings/early_exit.hpp
+++ b/libraries/settings/include/godwit/settings/early_exit.hpp
@@ -7,8 +7,8 @@
 
 namespace godwit::settings {
 
-/// The command line asks for no run: a text to print, and the code to end
-/// with.
+/// A request to exit before the program runs, for example after `--help`: a
+/// text to print and an exit code.
 class early_exit
 {
 public:
@@ -18,7 +18,7 @@
 
     [[nodiscard]] const std::string& text() const noexcept { return text_; }
 
-    /// Prints the text, to standard output if the code is `done` and else
+    /// Prints the text to standard output if the code is `success`, otherwise
     /// to standard error. Returns the code for `main`.
     [[nodiscard]] int report() const;
 
--- a/libraries/settings/include/godwit/settings/exit_code.hpp
+++ b/libraries/settings/include/godwit/settings/exit_code.hpp
@@ -2,13 +2,13 @@
 
 namespace godwit::settings {
 
-/// How a program ends; the same for every program of the system.
+/// Exit codes of every program of the system.
 enum class exit_code : int
 {
-    success = 0,        ///< It did what was asked.
-    failure = 1,        ///< It was refused, or failed.
-    usage_error = 2,    ///< The command line is wrong.
-    settings_error = 3, ///< The settings file is wrong.
+    success = 0,        ///< The program did what was requested.
+    failure = 1,        ///< The request was refused, or failed.
+    usage_error = 2,    ///< The command line is invalid.
+    settings_error = 3, ///< The settings file is invalid.
 };
 
 } // namespace godwit::settings
--- a/libraries/settings/include/godwit/settings/load_file.hpp
+++ b/libraries/settings/include/godwit/settings/load_file.hpp
@@ -8,7 +8,7 @@
 
 namespace godwit::settings {
 
-/// The largest settings file, in bytes.
+/// Default limit of a settings file, in bytes.
 inline constexpr std::size_t max_file_size = 1024UL * 1024UL;
 
 /// Reads and parses a settings file. Fails with `not_found` if it cannot be
--- a/libraries/settings/include/godwit/settings/program_options.hpp
+++ b/libraries/settings/include/godwit/settings/program_options.hpp
@@ -10,13 +10,13 @@
 
 namespace godwit::settings {
 
-/// The command line that the long-running programs share:
+/// The command line options of the long-running programs:
 /// `--help`, `--version`, `--config FILE` and `--check`.
 class program_options
 {
 public:
-    /// Reads the command line of `program`, whose `summary` heads the help.
-    /// `--help`, `--version` and wrong options come back as an early exit.
+    /// Parses the command line of `program`; `summary` starts the help text.
+    /// Returns an early exit for `--help`, `--version` and invalid options.
     static tl::expected<program_options, early_exit> parse(
         std::string_view program,
         std::string_view version,
@@ -30,7 +30,7 @@
         return config_file_;
     }
 
-    /// Whether to check the settings and end.
+    /// Whether to check the settings and exit.
     [[nodiscard]] bool check_only() const noexcept { return check_only_; }
 
     friend bool
--- a/libraries/settings/include/godwit/settings/range.hpp
+++ b/libraries/settings/include/godwit/settings/range.hpp
@@ -4,7 +4,7 @@
 
 namespace godwit::settings {
 
-/// The values that a setting may take, both ends included.
+/// The allowed values of a setting, both ends included.
 template<class Value>
 struct range
 {
--- a/libraries/settings/include/godwit/settings/read_values.hpp
+++ b/libraries/settings/include/godwit/settings/read_values.hpp
@@ -13,27 +13,26 @@
 
 namespace godwit::settings {
 
-/// A span given in whole milliseconds, `absent` where the key is missing.
-/// Fails with `invalid_input` naming the key's path.
+/// Reads a duration in whole milliseconds; `default_value` if the key is
+/// missing. Fails with `invalid_input` and the key's path.
 [[nodiscard]] core::result<core::duration> read_duration(
     reader& from,
     std::string_view key,
     range<std::chrono::milliseconds> allowed,
-    core::duration absent);
+    core::duration default_value);
 
-/// A count, `absent` where the key is missing. Fails with `invalid_input`
-/// naming the key's path.
+/// Reads a count; `default_value` if the key is missing. Fails with
+/// `invalid_input` and the key's path.
 [[nodiscard]] core::result<std::size_t> read_count(
     reader& from,
     std::string_view key,
     range<std::int64_t> allowed,
-    std::size_t absent);
+    std::size_t default_value);
 
-/// The length up to which names of hosts, zones and services are taken.
+/// Longest name of a host, zone or service, in bytes.
 inline constexpr std::size_t max_name_length = 128;
 
-/// A name that must be there. Fails with `invalid_input` naming the key's
-/// path.
+/// Reads a required name. Fails with `invalid_input` and the key's path.
 template<class Name>
 [[nodiscard]] core::result<Name> read_name(reader& from, std::string_view key)
 {
--- a/libraries/settings/include/godwit/settings/reader.hpp
+++ b/libraries/settings/include/godwit/settings/reader.hpp
@@ -20,92 +20,95 @@
 
 namespace godwit::settings {
 
-/// Reads one object of a settings file, checking each key that it takes.
+/// Reads an object of a settings file and checks each key that is read.
 ///
-/// Every get names a key, the values allowed, and the value used when the
-/// key is absent; without such a value the key is required. An error is
-/// `invalid_input` and names the path of the key and the remedy. `finish`
-/// refuses the keys that nobody asked for, so it comes last.
+/// Each `get_` function takes a key, the allowed values, and the default value
+/// if the key is missing; without a default value the key is required. Errors
+/// are `invalid_input` with the path of the key and a remedy. `finish` refuses
+/// the keys that were not read, so it is called last.
 class reader
 {
 public:
-    /// Reads the JSON text of a settings file, which must be an object.
+    /// Parses the JSON text of a settings file, which must be an object.
     static core::result<reader> parse(std::string_view text);
 
-    /// Reads an object that was parsed elsewhere; `path` is put before its
-    /// keys in messages and may be empty.
+    /// Reads an object that is already parsed; `path` is the prefix of its keys
+    /// in messages and may be empty.
     static core::result<reader> from_value(
         const boost::json::value& value, std::string path = std::string());
 
-    /// A text of 1 to `max_length` bytes.
+    /// Reads a string of 1 to `max_length` bytes.
     core::result<std::string> get_string(
         std::string_view key,
-        std::optional<std::string> absent = std::nullopt,
+        std::optional<std::string> default_value = std::nullopt,
         std::size_t max_length = default_max_length);
 
-    /// One of the texts in `allowed`.
+    /// Reads one of the strings in `allowed`.
     core::result<std::string> get_choice(
         std::string_view key,
         const std::vector<std::string>& allowed,
-        std::optional<std::string> absent = std::nullopt);
+        std::optional<std::string> default_value = std::nullopt);
 
-    /// A whole number within `allowed`.
+    /// Reads an integer within `allowed`.
     core::result<std::int64_t> get_integer(
         std::string_view key,
         range<std::int64_t> allowed,
-        std::optional<std::int64_t> absent = std::nullopt);
+        std::optional<std::int64_t> default_value = std::nullopt);
 
-    /// A number, whole or not, within `allowed`.
+    /// Reads a number within `allowed`, integer or not.
     core::result<double> get_number(
         std::string_view key,
         range<double> allowed,
-        std::optional<double> absent = std::nullopt);
+        std::optional<double> default_value = std::nullopt);
 
-    /// `true` or `false`.
+    /// Reads `true` or `false`.
     core::result<bool> get_boolean(
-        std::string_view key, std::optional<bool> absent = std::nullopt);
+        std::string_view key, std::optional<bool> default_value = std::nullopt);
 
-    /// A span of time, written as a whole number of milliseconds.
+    /// Reads a duration, given as an integer number of milliseconds.
     core::result<core::duration> get_milliseconds(
         std::string_view key,
         range<std::chrono::milliseconds> allowed,
-        std::optional<std::chrono::milliseconds> absent = std::nullopt);
+        std::optional<std::chrono::milliseconds> default_value = std::nullopt);
 
-    /// An address, written "IP:port".
+    /// Reads an address, given as "IP:port".
     core::result<address> get_address(
-        std::string_view key, std::optional<address> absent = std::nullopt);
+        std::string_view key,
+        std::optional<address> default_value = std::nullopt);
 
-    /// An address, or nothing if the key is absent.
+    /// Reads an address; nothing if the key is missing.
     core::result<std::optional<address>>
     get_optional_address(std::string_view key);
 
-    /// A list of at most `max_count` texts; empty if the key is absent.
+    /// Reads a list of at most `max_count` strings; empty if the key is
+    /// missing.
     core::result<std::vector<std::string>>
     get_strings(std::string_view key, std::size_t max_count);
 
-    /// A list of at most `max_count` addresses; empty if the key is absent.
+    /// Reads a list of at most `max_count` addresses; empty if the key is
+    /// missing.
     core::result<std::vector<address>>
     get_addresses(std::string_view key, std::size_t max_count);
 
-    /// A nested object; an empty one if the key is absent.
+    /// Reads a nested object; an empty one if the key is missing.
     core::result<reader> get_object(std::string_view key);
 
-    /// A list of at most `max_count` nested objects; empty if the key is
-    /// absent.
+    /// Reads a list of at most `max_count` nested objects; empty if the key is
+    /// missing.
     core::result<std::vector<reader>>
     get_objects(std::string_view key, std::size_t max_count);
 
-    /// Whatever JSON stands there, to be read by another library; the key is
+    /// Reads any JSON value, for another library to interpret; the key is
     /// required.
     core::result<boost::json::value> get_value(std::string_view key);
 
     /// Whether the key is present.
     [[nodiscard]] bool has(std::string_view key) const;
 
-    /// Refuses keys that no get has named.
+    /// Fails if the object has keys that were not read.
     [[nodiscard]] core::result<void> finish() const;
 
-    /// The same, and hands `value` on if there are none.
+    /// The same, but returns `value` if there are none.
     template<class Value>
     [[nodiscard]] core::result<Value> finish(Value value) const
     {
@@ -115,7 +118,7 @@
         return value;
     }
 
-    /// The path of `key` as messages write it, such as "listen.callers".
+    /// Returns the path of `key` for messages, such as "listen.callers".
     [[nodiscard]] std::string path_of(std::string_view key) const;
 
     static constexpr std::size_t default_max_length = 4096;
@@ -125,20 +128,22 @@
 
     reader(document root, const boost::json::object& object, std::string path);
 
-    const boost::json::value* take(std::string_view key);
+    const boost::json::value* read_key(std::string_view key);
 
     template<class Value, class Convert>
     core::result<Value>
-    get(std::string_view key, std::optional<Value> absent, Convert convert);
+    get(std::string_view key,
+        std::optional<Value> default_value,
+        Convert convert);
 
     template<class Value, class Convert>
     core::result<std::vector<Value>>
     get_list(std::string_view key, std::size_t max_count, Convert convert);
 
-    document root_; // Keeps what `object_` points into.
+    document root_; // Owns the value that `object_` points into.
     const boost::json::object* object_;
     std::string path_;
-    std::set<std::string, std::less<>> taken_;
+    std::set<std::string, std::less<>> keys_read_;
 };
 
 } // namespace godwit::settings
--- a/libraries/settings/src/address.cpp
+++ b/libraries/settings/src/address.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool is_ip_number(int family, const std::string& text)
+bool is_ip_address(int family, const std::string& text)
 {
     std::array<unsigned char, sizeof(in6_addr)> parsed{};
     return inet_pton(family, text.c_str(), parsed.data()) == 1;
@@ -46,7 +46,7 @@
         ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
     if (bracketed)
         ip = ip.substr(1, ip.size() - 2);
-    if (!is_ip_number(bracketed ? AF_INET6 : AF_INET, ip))
+    if (!is_ip_address(bracketed ? AF_INET6 : AF_INET, ip))
         return refusal();
     return address(std::move(ip), port);
 }
--- a/libraries/settings/src/load_file.cpp
+++ b/libraries/settings/src/load_file.cpp
@@ -13,8 +13,8 @@
             path + ": the file cannot be read",
             "check its name and permissions");
 
-    // One byte more than allowed tells a full file from one too large,
-    // without trusting the size that the file system reports.
+    // Reading one byte more than allowed detects a file that is too large
+    // without relying on the size that the file system reports.
     std::string text(max_size + 1, '\0');
     file.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(file.gcount()));
--- a/libraries/settings/src/program_options.cpp
+++ b/libraries/settings/src/program_options.cpp
@@ -21,12 +21,12 @@
 }
 
 tl::unexpected<early_exit>
-wrong_usage(std::string_view program, const std::string& what)
+usage_failure(std::string_view program, const std::string& problem)
 {
     return tl::unexpected(early_exit(
         exit_code::usage_error,
-        std::string(program) + ": " + what + "; see " + std::string(program) +
-            " --help"));
+        std::string(program) + ": " + problem + "; see " +
+            std::string(program) + " --help"));
 }
 
 } // namespace
@@ -51,7 +51,7 @@
     }};
     std::string config_file;
     bool check_only = false;
-    // Zero makes getopt_long start afresh, so that tests may call twice.
+    // Zero resets getopt_long, so that tests can call this more than once.
     optind = 0;
     opterr = 0;
     for (;;) {
@@ -74,17 +74,17 @@
             check_only = true;
             break;
         default:
-            return wrong_usage(
+            return usage_failure(
                 program,
                 std::string(arguments[optind - 1]) +
                     (found == ':' ? " needs a value" : " is not an option"));
         }
     }
     if (optind < argument_count)
-        return wrong_usage(
+        return usage_failure(
             program, std::string(arguments[optind]) + " is not expected");
     if (config_file.empty())
-        return wrong_usage(program, "--config FILE is missing");
+        return usage_failure(program, "--config FILE is missing");
     return program_options(std::move(config_file), check_only);
 }
 
--- a/libraries/settings/src/reader.cpp
+++ b/libraries/settings/src/reader.cpp
@@ -12,19 +12,21 @@
 namespace {
 
 tl::unexpected<core::error>
-refuse(const std::string& path, const std::string& what, std::string remedy)
+refuse(const std::string& path, const std::string& problem, std::string remedy)
 {
     return core::fail(
-        core::error_kind::invalid_input, path + ": " + what, std::move(remedy));
+        core::error_kind::invalid_input,
+        path + ": " + problem,
+        std::move(remedy));
 }
 
-// A value as messages show it, cut so that a line stays a line.
-std::string shown(const boost::json::value& value)
+// Formats a value for a message, truncated to keep the message on one line.
+std::string describe(const boost::json::value& value)
 {
-    constexpr std::size_t longest = 60;
+    constexpr std::size_t max_length = 60;
     std::string text = boost::json::serialize(value);
-    if (text.size() > longest)
-        text = text.substr(0, longest) + "...";
+    if (text.size() > max_length)
+        text = text.substr(0, max_length) + "...";
     return text;
 }
 
@@ -40,12 +42,14 @@
 {
     if (!value.is_string())
         return refuse(
-            path, shown(value) + " is not a text", "write it in double quotes");
+            path,
+            describe(value) + " is not a string",
+            "write it in double quotes");
     const auto& text = value.get_string();
     if (text.empty() || text.size() > max_length)
         return refuse(
             path,
-            "the text has " + std::to_string(text.size()) + " bytes",
+            "the string has " + std::to_string(text.size()) + " bytes",
             "write 1 to " + std::to_string(max_length) + " bytes");
     return std::string(text);
 }
@@ -61,9 +65,9 @@
                                std::to_string(allowed.lowest) + " to " +
                                std::to_string(allowed.highest);
     if (failure)
-        return refuse(path, shown(value) + " is not a whole number", remedy);
+        return refuse(path, describe(value) + " is not a whole number", remedy);
     if (!allowed.contains(number))
-        return refuse(path, shown(value) + " is out of range", remedy);
+        return refuse(path, describe(value) + " is out of range", remedy);
     return number;
 }
 
@@ -73,7 +77,7 @@
     if (!value.is_string())
         return refuse(
             path,
-            shown(value) + " is not an IP:port",
+            describe(value) + " is not an IP:port",
             "write for example \"127.0.0.1:8080\"");
     auto parsed = address::parse(std::string(value.get_string()));
     if (!parsed)
@@ -106,7 +110,7 @@
     if (!value.is_object())
         return refuse(
             path.empty() ? "settings" : path,
-            shown(value) + " is not an object",
+            describe(value) + " is not an object",
             "write {\"key\": value, ...}");
     auto root = std::make_shared<const boost::json::value>(value);
     const auto& object = root->get_object();
@@ -125,21 +129,21 @@
     return object_->if_contains(key) != nullptr;
 }
 
-const boost::json::value* reader::take(std::string_view key)
+const boost::json::value* reader::read_key(std::string_view key)
 {
-    taken_.emplace(key);
+    keys_read_.emplace(key);
     return object_->if_contains(key);
 }
 
 template<class Value, class Convert>
-core::result<Value>
-reader::get(std::string_view key, std::optional<Value> absent, Convert convert)
+core::result<Value> reader::get(
+    std::string_view key, std::optional<Value> default_value, Convert convert)
 {
-    const boost::json::value* value = take(key);
+    const boost::json::value* value = read_key(key);
     if (value != nullptr)
         return convert(path_of(key), *value);
-    if (absent)
-        return *std::move(absent);
+    if (default_value)
+        return *std::move(default_value);
     return refuse(path_of(key), "the key is missing", "add it");
 }
 
@@ -148,13 +152,13 @@
 reader::get_list(std::string_view key, std::size_t max_count, Convert convert)
 {
     std::vector<Value> items;
-    const boost::json::value* value = take(key);
+    const boost::json::value* value = read_key(key);
     if (value == nullptr)
         return items;
     if (!value->is_array())
         return refuse(
             path_of(key),
-            shown(*value) + " is not a list",
+            describe(*value) + " is not a list",
             "write [item, ...]");
     const auto& list = value->get_array();
     if (list.size() > max_count)
@@ -171,11 +175,13 @@
 
 core::result<std::string> reader::get_string(
     std::string_view key,
-    std::optional<std::string> absent,
+    std::optional<std::string> default_value,
     std::size_t max_length)
 {
     return get<std::string>(
-        key, std::move(absent), [&](const auto& path, const auto& value) {
+        key,
+        std::move(default_value),
+        [&](const auto& path, const auto& value) {
             return text_of(path, value, max_length);
         });
 }
@@ -183,7 +189,7 @@
 core::result<std::string> reader::get_choice(
     std::string_view key,
     const std::vector<std::string>& allowed,
-    std::optional<std::string> absent)
+    std::optional<std::string> default_value)
 {
     using text_result = core::result<std::string>;
     const auto convert = [&](const auto& path,
@@ -197,22 +203,24 @@
         return refuse(
             path, "'" + text + "' is not known", "write one of " + names);
     };
-    return get<std::string>(key, std::move(absent), convert);
+    return get<std::string>(key, std::move(default_value), convert);
 }
 
 core::result<std::int64_t> reader::get_integer(
     std::string_view key,
     range<std::int64_t> allowed,
-    std::optional<std::int64_t> absent)
+    std::optional<std::int64_t> default_value)
 {
     return get<std::int64_t>(
-        key, absent, [&](const auto& path, const auto& value) {
+        key, default_value, [&](const auto& path, const auto& value) {
             return integer_of(path, value, allowed);
         });
 }
 
 core::result<double> reader::get_number(
-    std::string_view key, range<double> allowed, std::optional<double> absent)
+    std::string_view key,
+    range<double> allowed,
+    std::optional<double> default_value)
 {
     using number_result = core::result<double>;
     const auto convert = [&](const auto& path,
@@ -223,16 +231,16 @@
         boost::json::error_code failure;
         const auto number = value.template to_number<double>(failure);
         if (failure)
-            return refuse(path, shown(value) + " is not a number", remedy);
+            return refuse(path, describe(value) + " is not a number", remedy);
         if (!allowed.contains(number))
-            return refuse(path, shown(value) + " is out of range", remedy);
+            return refuse(path, describe(value) + " is out of range", remedy);
         return number;
     };
-    return get<double>(key, absent, convert);
+    return get<double>(key, default_value, convert);
 }
 
 core::result<bool>
-reader::get_boolean(std::string_view key, std::optional<bool> absent)
+reader::get_boolean(std::string_view key, std::optional<bool> default_value)
 {
     using boolean_result = core::result<bool>;
     const auto convert = [](const auto& path,
@@ -240,36 +248,36 @@
         if (!value.is_bool())
             return refuse(
                 path,
-                shown(value) + " is not a boolean",
+                describe(value) + " is not a boolean",
                 "write true or false");
         return value.get_bool();
     };
-    return get<bool>(key, absent, convert);
+    return get<bool>(key, default_value, convert);
 }
 
 core::result<core::duration> reader::get_milliseconds(
     std::string_view key,
     range<std::chrono::milliseconds> allowed,
-    std::optional<std::chrono::milliseconds> absent)
+    std::optional<std::chrono::milliseconds> default_value)
 {
-    std::optional<std::int64_t> absent_count;
-    if (absent)
-        absent_count = absent->count();
+    std::optional<std::int64_t> default_count;
+    if (default_value)
+        default_count = default_value->count();
     const auto count = GODWIT_TRY(get_integer(
-        key, {allowed.lowest.count(), allowed.highest.count()}, absent_count));
+        key, {allowed.lowest.count(), allowed.highest.count()}, default_count));
     return core::duration(std::chrono::milliseconds(count));
 }
 
 core::result<address>
-reader::get_address(std::string_view key, std::optional<address> absent)
+reader::get_address(std::string_view key, std::optional<address> default_value)
 {
-    return get<address>(key, std::move(absent), address_of);
+    return get<address>(key, std::move(default_value), address_of);
 }
 
 core::result<std::optional<address>>
 reader::get_optional_address(std::string_view key)
 {
-    const boost::json::value* value = take(key);
+    const boost::json::value* value = read_key(key);
     if (value == nullptr)
         return std::optional<address>();
     return std::optional(GODWIT_TRY(address_of(path_of(key), *value)));
@@ -292,7 +300,7 @@
 
 core::result<reader> reader::get_object(std::string_view key)
 {
-    const boost::json::value* value = take(key);
+    const boost::json::value* value = read_key(key);
     if (value == nullptr)
         return from_value(boost::json::object(), path_of(key));
     return from_value(*value, path_of(key));
@@ -321,10 +329,10 @@
 core::result<void> reader::finish() const
 {
     for (const auto& member : *object_) {
-        if (taken_.contains(std::string_view(member.key())))
+        if (keys_read_.contains(std::string_view(member.key())))
             continue;
         std::string known;
-        for (const auto& key : taken_)
+        for (const auto& key : keys_read_)
             known += (known.empty() ? "" : ", ") + key;
         return refuse(
             path_of(member.key()),
