--- a/libraries/platform/include/godwit/platform/append_budget.hpp
+++ b/libraries/platform/include/godwit/platform/append_budget.hpp
@@ -6,8 +6,8 @@
 
 namespace godwit::platform {
 
-/// A token bucket over this host's appends, so that all hosts together leave
-/// operators their share of the log's rate.
+/// A token bucket that limits this host's appends, so that all hosts together
+/// leave part of the log's rate to operators.
 class append_budget
 {
 public:
@@ -15,13 +15,13 @@
     [[nodiscard]] static core::result<append_budget>
     create(const append_budget_options& options, core::time_point now);
 
-    /// Takes one append, if it may be made now.
+    /// Takes a token for one append; returns false if there is none.
     [[nodiscard]] bool take(core::time_point now);
 
-    /// How long until `take` succeeds; 0 when it does now.
+    /// Returns the time until `take` can succeed; 0 if it can now.
     [[nodiscard]] core::duration wait(core::time_point now) const;
 
-    /// The number of hosts changed; at least 1 is assumed.
+    /// Sets the number of hosts; 0 counts as 1.
     void set_hosts(std::size_t hosts, core::time_point now);
 
 private:
@@ -32,7 +32,7 @@
 
     append_budget_options options_;
     double tokens_;
-    core::time_point filled_;
+    core::time_point refilled_at_;
 };
 
 } // namespace godwit::platform
--- a/libraries/platform/include/godwit/platform/append_budget_options.hpp
+++ b/libraries/platform/include/godwit/platform/append_budget_options.hpp
@@ -4,19 +4,19 @@
 
 namespace godwit::platform {
 
-/// How much of the log's rate one host may use.
+/// Determines this host's part of the log's rate.
 struct append_budget_options
 {
-    /// Appends a second that the log takes from everybody.
+    /// Appends per second that the log accepts from all clients together.
     double log_rate = 300;
 
-    /// The part of `log_rate` that stays free for operators, 0 to below 1.
+    /// Fraction of `log_rate` that is reserved for operators, 0 to below 1.
     double operators_share = 0.2;
 
-    /// The entry hosts that divide the rest, at least 1.
+    /// Number of entry hosts that share the rest, at least 1.
     std::size_t hosts = 1;
 
-    /// Appends that a quiet host may make at once, at least 1.
+    /// Appends that an idle host may make at once, at least 1.
     double burst = 20;
 
     friend bool operator==(
--- a/libraries/platform/include/godwit/platform/append_failure.hpp
+++ b/libraries/platform/include/godwit/platform/append_failure.hpp
@@ -12,7 +12,7 @@
     append_failure_kind kind = append_failure_kind::effect_unknown;
     core::error cause;
 
-    /// When to try again at the earliest; 0 if nothing is known.
+    /// Minimum delay before a retry; 0 if unknown.
     core::duration retry_after{0};
 
     friend bool
--- a/libraries/platform/include/godwit/platform/append_failure_kind.hpp
+++ b/libraries/platform/include/godwit/platform/append_failure_kind.hpp
@@ -4,16 +4,16 @@
 
 namespace godwit::platform {
 
-/// What a failed append left behind on the log.
+/// Why an append failed, and whether the record may be in the log.
 enum class append_failure_kind
 {
-    effect_unknown, ///< Sent, no usable answer: read the log to find out.
-    rate_limited,   ///< Not done: the log's or this host's rate is used up.
-    unavailable,    ///< Not done: an outage, or no connection.
-    rejected,       ///< Not done: the log does not take this record at all.
+    effect_unknown, ///< Sent, no valid response: read the log to find out.
+    rate_limited,   ///< Not appended: over the log's or this host's rate.
+    unavailable,    ///< Not appended: an outage, or no connection.
+    rejected,       ///< Not appended: the log never accepts this record.
 };
 
-/// The name of `kind` as it appears in logs.
+/// Returns the name of `kind` for logs.
 [[nodiscard]] std::string_view to_string(append_failure_kind kind) noexcept;
 
 } // namespace godwit::platform
--- a/libraries/platform/include/godwit/platform/append_throttling.hpp
+++ b/libraries/platform/include/godwit/platform/append_throttling.hpp
@@ -2,11 +2,11 @@
 
 namespace godwit::platform {
 
-/// Who keeps an append within the log's rate.
+/// Which party limits the rate of an append.
 enum class append_throttling
 {
-    host_share, ///< The log client, with this host's share.
-    caller,     ///< The caller, with a budget of its own.
+    host_share, ///< The log client, by this host's share of the log's rate.
+    caller,     ///< The caller, by a budget of its own.
 };
 
 } // namespace godwit::platform
--- a/libraries/platform/include/godwit/platform/host_entry.hpp
+++ b/libraries/platform/include/godwit/platform/host_entry.hpp
@@ -8,7 +8,7 @@
 
 namespace godwit::platform {
 
-/// One line of the platform's host list.
+/// An entry of the platform's host list.
 struct host_entry
 {
     std::string address; ///< "IP:port" on which the host serves.
@@ -18,7 +18,7 @@
     core::service_name service; ///< Empty for an entry host.
     host_state state = host_state::live;
 
-    /// Of an entry host: its agent's address for frames, or empty.
+    /// Of an entry host: its agent's address for links, or empty.
     std::string peer;
 
     friend bool operator==(const host_entry&, const host_entry&) = default;
--- a/libraries/platform/include/godwit/platform/host_kind.hpp
+++ b/libraries/platform/include/godwit/platform/host_kind.hpp
@@ -2,7 +2,7 @@
 
 namespace godwit::platform {
 
-/// What a host of the host list does.
+/// The kind of a host in the host list.
 enum class host_kind
 {
     entry,   ///< An entry host of the system.
--- a/libraries/platform/include/godwit/platform/host_list.hpp
+++ b/libraries/platform/include/godwit/platform/host_list.hpp
@@ -6,7 +6,7 @@
 
 namespace godwit::platform {
 
-/// The whole host list, sorted by address.
+/// The complete host list, sorted by address.
 using host_list = std::vector<host_entry>;
 
 } // namespace godwit::platform
--- a/libraries/platform/include/godwit/platform/host_list_client.hpp
+++ b/libraries/platform/include/godwit/platform/host_list_client.hpp
@@ -16,23 +16,24 @@
 
 namespace godwit::platform {
 
-/// Reads the host list again and again, with backoff and jitter while it is
-/// not to be had. Every member is called on the executor.
+/// Polls the host list, with backoff and jitter while it is unavailable. Call
+/// every member on the executor.
 class host_list_client : public std::enable_shared_from_this<host_list_client>
 {
 public:
     using callback = std::function<void(const core::result<host_list>&)>;
 
-    /// `heard` gets every list read, changed or not, and every failure.
+    /// `on_list` is called with the result of every read, even if the list did
+    /// not change.
     [[nodiscard]] static std::shared_ptr<host_list_client> create(
         const boost::asio::any_io_executor& executor,
         http::endpoint server,
         const host_list_options& options,
-        callback heard);
+        callback on_list);
 
     void start();
 
-    /// Calls `heard` no more.
+    /// Stops polling; `on_list` is not called any more.
     void stop();
 
 private:
@@ -40,14 +41,14 @@
         const boost::asio::any_io_executor& executor,
         http::endpoint server,
         const host_list_options& options,
-        callback heard);
+        callback on_list);
 
     boost::asio::awaitable<void> run();
     boost::asio::awaitable<core::result<host_list>> read();
 
     http::endpoint server_;
     host_list_options options_;
-    callback heard_;
+    callback on_list_;
     std::unique_ptr<http::connection_pool> pool_;
     core::timer timer_;
     core::random random_;
--- a/libraries/platform/include/godwit/platform/host_list_options.hpp
+++ b/libraries/platform/include/godwit/platform/host_list_options.hpp
@@ -8,22 +8,22 @@
 
 namespace godwit::platform {
 
-/// How the host list is watched.
+/// Settings for polling the host list.
 struct host_list_options
 {
-    /// Between two reads that succeed.
+    /// Interval between reads while they succeed.
     core::duration interval = std::chrono::seconds(1);
 
-    /// One read.
+    /// Timeout of a read.
     core::duration timeout = std::chrono::seconds(2);
 
-    /// The longest wait between tries while the list is not to be had.
+    /// Longest delay between reads while they fail.
     core::duration max_backoff = std::chrono::seconds(4);
 
-    /// The largest list, in bytes; a larger one fails.
+    /// Largest response, in bytes; the read of a larger one fails.
     std::size_t max_list_bytes = std::size_t{4} * 1024 * 1024;
 
-    std::uint64_t seed = 0; ///< Of the jitter.
+    std::uint64_t seed = 0; ///< Seed of the jitter.
 
     friend bool
     operator==(const host_list_options&, const host_list_options&) = default;
--- a/libraries/platform/include/godwit/platform/host_state.hpp
+++ b/libraries/platform/include/godwit/platform/host_state.hpp
@@ -2,7 +2,7 @@
 
 namespace godwit::platform {
 
-/// What the host list says of a host.
+/// The state of a host in the host list.
 enum class host_state
 {
     live,
--- a/libraries/platform/include/godwit/platform/log_client.hpp
+++ b/libraries/platform/include/godwit/platform/log_client.hpp
@@ -20,10 +20,9 @@
 
 namespace godwit::platform {
 
-/// Reads and appends to the platform's log. Nothing is retried here: whoever
-/// asked decides, since only it knows whether a second append is harmless.
-/// Every member is called on the executor, and so are the callbacks, never
-/// from inside the call.
+/// Reads and appends to the platform's log. Does not retry: only the caller
+/// knows whether a second append is harmless. Call every member on the
+/// executor; the callbacks run there too, never within the call.
 class log_client : public std::enable_shared_from_this<log_client>
 {
 public:
@@ -36,24 +35,24 @@
         http::endpoint server,
         const log_client_options& options);
 
-    /// Appends one record to `stream`. Over this host's share it fails with
-    /// `rate_limited` without asking the log, unless the caller keeps to a
-    /// budget of its own.
+    /// Appends a record to `stream`. Over this host's share it fails with
+    /// `rate_limited` without a request to the log, unless the caller throttles
+    /// its appends itself.
     void append(
         std::string stream,
         std::string data,
-        append_throttling pacing,
+        append_throttling throttling,
         append_callback done);
 
     /// Reads a stream. Fails with `unavailable` or `timeout` in outages,
-    /// `exhausted` when the answer is over the bound (ask for fewer records),
-    /// and `protocol` when it is not the log's.
-    void read(read_request wanted, read_callback done);
+    /// `exhausted` if the response exceeds its limit (request fewer records),
+    /// and `protocol` if it is not a valid response of the log.
+    void read(read_request query, read_callback done);
 
-    /// The number of entry hosts that share the log's rate.
+    /// Sets the number of entry hosts that share the log's rate.
     void set_hosts(std::size_t hosts);
 
-    /// Calls no callback any more; exchanges under way end unheard.
+    /// Stops calling callbacks; the results of pending requests are dropped.
     void stop();
 
     [[nodiscard]] const log_client_counters& counters() const noexcept
@@ -71,7 +70,7 @@
     boost::asio::awaitable<append_result>
     exchange_append(std::string stream, std::string data);
     boost::asio::awaitable<core::result<log_page>>
-    exchange_read(read_request wanted);
+    exchange_read(read_request query);
 
     http::endpoint server_;
     log_client_options options_;
--- a/libraries/platform/include/godwit/platform/log_client_counters.hpp
+++ b/libraries/platform/include/godwit/platform/log_client_counters.hpp
@@ -4,12 +4,12 @@
 
 namespace godwit::platform {
 
-/// What one host asked of the log.
+/// Counters of one host's requests to the log.
 struct log_client_counters
 {
     std::uint64_t appends = 0;         ///< Sent.
-    std::uint64_t appends_unknown = 0; ///< Whose effect is unknown.
-    std::uint64_t appends_refused = 0; ///< Not done, over budget included.
+    std::uint64_t appends_unknown = 0; ///< Sent, with an unknown effect.
+    std::uint64_t appends_refused = 0; ///< Not appended; includes over budget.
     std::uint64_t reads = 0;
     std::uint64_t reads_failed = 0;
 
--- a/libraries/platform/include/godwit/platform/log_client_options.hpp
+++ b/libraries/platform/include/godwit/platform/log_client_options.hpp
@@ -8,16 +8,16 @@
 
 namespace godwit::platform {
 
-/// Times and bounds of one host's dealings with the log.
+/// Timeouts and limits of a log client.
 struct log_client_options
 {
-    /// After this an append's effect is unknown.
+    /// Time after which the effect of an append counts as unknown.
     core::duration append_timeout = std::chrono::seconds(2);
 
-    /// How long a read may take beyond the wait that it asks for.
+    /// Timeout of a read, in addition to the `wait` of its request.
     core::duration read_timeout = std::chrono::seconds(3);
 
-    /// The largest answer to one read, in bytes; a larger one fails.
+    /// Largest response to a read, in bytes; the read of a larger one fails.
     std::size_t max_page_bytes = std::size_t{8} * 1024 * 1024;
 
     append_budget_options budget;
--- a/libraries/platform/include/godwit/platform/log_page.hpp
+++ b/libraries/platform/include/godwit/platform/log_page.hpp
@@ -7,12 +7,12 @@
 
 namespace godwit::platform {
 
-/// What one read of a stream returned.
+/// The result of one read of a stream.
 struct log_page
 {
-    std::uint64_t first = 0; ///< The oldest offset that the log still keeps.
-    std::uint64_t next = 0;  ///< One past the newest record.
-    std::vector<log_record> records; ///< In order, from the offset asked for.
+    std::uint64_t first = 0;         ///< Oldest offset that the log still has.
+    std::uint64_t next = 0;          ///< One past the newest record.
+    std::vector<log_record> records; ///< In order, from the requested offset.
 
     friend bool operator==(const log_page&, const log_page&) = default;
 };
--- a/libraries/platform/include/godwit/platform/log_record.hpp
+++ b/libraries/platform/include/godwit/platform/log_record.hpp
@@ -5,12 +5,12 @@
 
 namespace godwit::platform {
 
-/// One record as the log returns it.
+/// A record as returned by the log.
 struct log_record
 {
     std::uint64_t offset = 0;
 
-    /// The log's own time of the append, in milliseconds since 1970.
+    /// Time of the append by the log's clock, in Unix milliseconds.
     std::uint64_t time_ms = 0;
 
     std::string data;
--- a/libraries/platform/include/godwit/platform/read_request.hpp
+++ b/libraries/platform/include/godwit/platform/read_request.hpp
@@ -7,14 +7,14 @@
 
 namespace godwit::platform {
 
-/// What to read of a stream.
+/// A request to read from a stream.
 struct read_request
 {
     std::string stream;
-    std::uint64_t from = 0;  ///< The first offset wanted.
-    std::uint32_t limit = 0; ///< The most records wanted.
+    std::uint64_t from = 0;  ///< First offset to read.
+    std::uint32_t limit = 0; ///< Most records to return.
 
-    /// How long the log may wait for a record at `from`.
+    /// Time for which the log may wait for a record at `from` (long polling).
     core::duration wait{0};
 
     friend bool operator==(const read_request&, const read_request&) = default;
--- a/libraries/platform/src/append_budget.cpp
+++ b/libraries/platform/src/append_budget.cpp
@@ -33,7 +33,7 @@
 
 append_budget::append_budget(
     const append_budget_options& options, core::time_point now)
-    : options_(options), tokens_(options.burst), filled_(now)
+    : options_(options), tokens_(options.burst), refilled_at_(now)
 {}
 
 double append_budget::rate() const
@@ -44,14 +44,14 @@
 
 double append_budget::tokens_at(core::time_point now) const
 {
-    const double gained = seconds(now - filled_).count() * rate();
+    const double gained = seconds(now - refilled_at_).count() * rate();
     return std::min(options_.burst, tokens_ + std::max(gained, 0.0));
 }
 
 bool append_budget::take(core::time_point now)
 {
     tokens_ = tokens_at(now);
-    filled_ = now;
+    refilled_at_ = now;
     if (tokens_ < 1)
         return false;
     tokens_ -= 1;
@@ -70,7 +70,7 @@
 void append_budget::set_hosts(std::size_t hosts, core::time_point now)
 {
     tokens_ = tokens_at(now);
-    filled_ = now;
+    refilled_at_ = now;
     options_.hosts = std::max<std::size_t>(hosts, 1);
 }
 
--- a/libraries/platform/src/host_list_client.cpp
+++ b/libraries/platform/src/host_list_client.cpp
@@ -1,6 +1,6 @@
 #include <godwit/platform/host_list_client.hpp>
 
-#include "answers.hpp"
+#include "response_parser.hpp"
 
 #include <godwit/http/fetch.hpp>
 
@@ -19,18 +19,19 @@
     const boost::asio::any_io_executor& executor,
     http::endpoint server,
     const host_list_options& options,
-    callback heard)
+    callback on_list)
 {
     return std::shared_ptr<host_list_client>(new host_list_client(
-        executor, std::move(server), options, std::move(heard)));
+        executor, std::move(server), options, std::move(on_list)));
 }
 
 host_list_client::host_list_client(
     const boost::asio::any_io_executor& executor,
     http::endpoint server,
     const host_list_options& options,
-    callback heard)
-    : server_(std::move(server)), options_(options), heard_(std::move(heard)),
+    callback on_list)
+    : server_(std::move(server)), options_(options),
+      on_list_(std::move(on_list)),
       pool_(http::connection_pool::create(executor, {})), timer_(executor),
       random_(options.seed)
 {}
@@ -38,16 +39,16 @@
 void host_list_client::start()
 {
     asio::co_spawn(
-        timer_.get_executor(), run(), [](const std::exception_ptr& broken) {
-            if (broken)
-                std::rethrow_exception(broken);
+        timer_.get_executor(), run(), [](const std::exception_ptr& exception) {
+            if (exception)
+                std::rethrow_exception(exception);
         });
 }
 
 void host_list_client::stop()
 {
     stopped_ = true;
-    heard_ = {};
+    on_list_ = {};
     timer_.cancel();
 }
 
@@ -59,12 +60,12 @@
         const auto list = co_await read();
         if (stopped_)
             break;
-        heard_(list);
+        on_list_(list);
         if (stopped_)
             break;
         wait =
             list ? options_.interval : std::min(wait * 2, options_.max_backoff);
-        // The upper half is drawn, so that hosts do not ask together.
+        // Drawn from the upper half, so that hosts do not poll together.
         const auto spread = static_cast<std::uint64_t>(wait.count() / 2) + 1;
         const core::duration jittered =
             wait / 2 + core::duration(static_cast<core::duration::rep>(
@@ -80,12 +81,12 @@
 {
     http::request request;
     request.target = "/v1/hosts";
-    const auto answer = co_await http::fetch(
+    const auto response = co_await http::fetch(
         *pool_,
         server_,
         std::move(request),
         {.deadline = options_.timeout, .body_bytes = options_.max_list_bytes});
-    co_return read_hosts_answer(answer);
+    co_return parse_hosts_response(response);
 }
 
 } // namespace godwit::platform
--- a/libraries/platform/src/log_client.cpp
+++ b/libraries/platform/src/log_client.cpp
@@ -1,6 +1,6 @@
 #include <godwit/platform/log_client.hpp>
 
-#include "answers.hpp"
+#include "response_parser.hpp"
 
 #include <godwit/http/fetch.hpp>
 
@@ -38,13 +38,13 @@
     return request;
 }
 
-http::request page_request(const read_request& wanted)
+http::request page_request(const read_request& query)
 {
     http::request request;
-    request.target = records_target(wanted.stream) +
-                     "?from=" + std::to_string(wanted.from) +
-                     "&limit=" + std::to_string(wanted.limit) +
-                     "&wait_ms=" + milliseconds(wanted.wait);
+    request.target = records_target(query.stream) +
+                     "?from=" + std::to_string(query.from) +
+                     "&limit=" + std::to_string(query.limit) +
+                     "&wait_ms=" + milliseconds(query.wait);
     return request;
 }
 
@@ -54,8 +54,9 @@
         .kind = append_failure_kind::rate_limited,
         .cause = core::error(
             core::error_kind::exhausted,
-            "this host's share of the log's appends is used up",
-            "wait; raise the log's rate in the settings if the log takes more"),
+            "this host's share of the log's append rate is used up",
+            "wait; raise the log's rate in the settings if the log allows "
+            "more"),
         .retry_after = wait};
 }
 
@@ -84,11 +85,11 @@
 void log_client::append(
     std::string stream,
     std::string data,
-    append_throttling pacing,
+    append_throttling throttling,
     append_callback done)
 {
     const auto now = core::monotonic_now();
-    if (pacing == append_throttling::host_share && !budget_.take(now)) {
+    if (throttling == append_throttling::host_share && !budget_.take(now)) {
         ++counters_.appends_refused;
         asio::post(
             pool_->executor(),
@@ -105,9 +106,9 @@
         pool_->executor(),
         exchange_append(std::move(stream), std::move(data)),
         [self = shared_from_this(), done = std::move(done)](
-            const std::exception_ptr& broken, append_result result) {
-            if (broken)
-                std::rethrow_exception(broken);
+            const std::exception_ptr& exception, append_result result) {
+            if (exception)
+                std::rethrow_exception(exception);
             if (!self->stopped_)
                 done(std::move(result));
         });
@@ -117,12 +118,12 @@
 log_client::exchange_append(std::string stream, std::string data)
 {
     const auto self = shared_from_this();
-    const auto answer = co_await http::fetch(
+    const auto response = co_await http::fetch(
         *pool_,
         server_,
         append_request(stream, std::move(data)),
         {.deadline = options_.append_timeout});
-    auto result = read_append_answer(answer);
+    auto result = parse_append_response(response);
     if (!result) {
         const bool unknown =
             result.error().kind == append_failure_kind::effect_unknown;
@@ -131,32 +132,33 @@
     co_return result;
 }
 
-void log_client::read(read_request wanted, read_callback done)
+void log_client::read(read_request query, read_callback done)
 {
     ++counters_.reads;
     asio::co_spawn(
         pool_->executor(),
-        exchange_read(std::move(wanted)),
+        exchange_read(std::move(query)),
         [self = shared_from_this(), done = std::move(done)](
-            const std::exception_ptr& broken, core::result<log_page> result) {
-            if (broken)
-                std::rethrow_exception(broken);
+            const std::exception_ptr& exception,
+            core::result<log_page> result) {
+            if (exception)
+                std::rethrow_exception(exception);
             if (!self->stopped_)
                 done(std::move(result));
         });
 }
 
 asio::awaitable<core::result<log_page>>
-log_client::exchange_read(read_request wanted)
+log_client::exchange_read(read_request query)
 {
     const auto self = shared_from_this();
-    const auto answer = co_await http::fetch(
+    const auto response = co_await http::fetch(
         *pool_,
         server_,
-        page_request(wanted),
-        {.deadline = wanted.wait + options_.read_timeout,
+        page_request(query),
+        {.deadline = query.wait + options_.read_timeout,
          .body_bytes = options_.max_page_bytes});
-    auto result = read_page_answer(answer);
+    auto result = parse_page_response(response);
     if (!result)
         ++counters_.reads_failed;
     co_return result;
--- a/libraries/platform/src/answers.cpp
+++ b/libraries/platform/src/response_parser.cpp
@@ -1,4 +1,4 @@
-#include "answers.hpp"
+#include "response_parser.hpp"
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
@@ -27,33 +27,34 @@
 constexpr const char* platform_remedy =
     "check that the settings' platform address is the platform's";
 
-bool succeeded(const http::response& answer)
+bool succeeded(const http::response& response)
 {
-    return answer.status == status_ok || answer.status == status_created;
+    return response.status == status_ok || response.status == status_created;
 }
 
-core::error bad_answer(const std::string& what)
+core::error invalid_response(const std::string& problem)
 {
     return {
         core::error_kind::protocol,
-        "the platform's answer is not understood: " + what,
+        "the platform's response is invalid: " + problem,
         platform_remedy};
 }
 
-core::error refused(const http::response& answer)
+core::error error_of(const http::response& response)
 {
-    const std::string status = std::to_string(answer.status);
-    if (answer.status == status_too_many_requests) {
+    const std::string status = std::to_string(response.status);
+    if (response.status == status_too_many_requests) {
         return {
             core::error_kind::exhausted,
-            "the platform's rate is used up (429)",
-            "wait; give claims and checkpoints a smaller share if it lasts"};
+            "the platform's rate limit is reached (429)",
+            "wait; if it persists, give claims and checkpoints a smaller "
+            "share"};
     }
-    if (answer.status >= server_errors) {
+    if (response.status >= server_errors) {
         return {
             core::error_kind::unavailable,
             "the platform is in an outage (" + status + ")",
-            "wait; serving goes on with what is known"};
+            "wait; the system keeps serving with the data that it has"};
     }
     return {
         core::error_kind::invalid_input,
@@ -61,9 +62,9 @@
         platform_remedy};
 }
 
-core::duration retry_after(const http::response& answer)
+core::duration retry_after(const http::response& response)
 {
-    const auto field = answer.fields.find("Retry-After");
+    const auto field = response.fields.find("Retry-After");
     if (!field)
         return core::duration(0);
     unsigned seconds = 0;
@@ -71,7 +72,7 @@
     return std::chrono::seconds(seconds);
 }
 
-append_failure failed_append(append_failure_kind kind, core::error cause)
+append_failure make_append_failure(append_failure_kind kind, core::error cause)
 {
     return {.kind = kind, .cause = std::move(cause)};
 }
@@ -109,35 +110,36 @@
     boost::system::error_code code;
     json::value parsed = json::parse(body, code);
     if (code || !parsed.is_object())
-        return tl::unexpected(bad_answer("it is no JSON object"));
+        return tl::unexpected(invalid_response("it is not a JSON object"));
     return std::move(parsed.get_object());
 }
 
 core::result<json::object>
-expect_object(const http::client_result<http::response>& answer)
+expect_object(const http::client_result<http::response>& response)
 {
-    if (!answer)
-        return tl::unexpected(answer.error().cause);
-    if (!succeeded(*answer))
-        return tl::unexpected(refused(*answer));
-    return parse_object(answer->body);
+    if (!response)
+        return tl::unexpected(response.error().cause);
+    if (!succeeded(*response))
+        return tl::unexpected(error_of(*response));
+    return parse_object(response->body);
 }
 
 core::result<log_record> read_record(const json::value& value)
 {
     const auto* object = value.if_object();
     if (object == nullptr)
-        return tl::unexpected(bad_answer("a record is no object"));
+        return tl::unexpected(invalid_response("a record is not an object"));
     const auto offset = find_number(*object, "offset");
     const auto time = find_number(*object, "time_ms");
     auto data = find_text(*object, "data");
     if (!offset || !time || !data)
-        return tl::unexpected(bad_answer("a record lacks a field"));
+        return tl::unexpected(invalid_response("a record lacks a field"));
     return log_record{*offset, *time, std::move(*data)};
 }
 
-// Followers fold in log order; a page out of order must not reach them.
-bool in_order(const std::vector<log_record>& records)
+// Readers apply records in log order, so a page out of order must not reach
+// them.
+bool is_in_order(const std::vector<log_record>& records)
 {
     return std::ranges::adjacent_find(
                records, [](const log_record& left, const log_record& right) {
@@ -160,12 +162,12 @@
 {
     const auto* object = value.if_object();
     if (object == nullptr)
-        return tl::unexpected(bad_answer("a host is no object"));
+        return tl::unexpected(invalid_response("a host is not an object"));
     const auto address = find_text(*object, "address");
     const auto kind = parse_kind(find_text(*object, "kind").value_or(""));
     const auto state = find_text(*object, "state");
     if (!address || !kind || !state)
-        return tl::unexpected(bad_answer("a host lacks a field"));
+        return tl::unexpected(invalid_response("a host lacks a field"));
     return host_entry{
         .address = *address,
         .kind = *kind,
@@ -180,66 +182,67 @@
 } // namespace
 
 append_result
-read_append_answer(const http::client_result<http::response>& answer)
+parse_append_response(const http::client_result<http::response>& response)
 {
-    if (!answer) {
-        const auto& failure = answer.error();
+    if (!response) {
+        const auto& failure = response.error();
         const bool nothing_sent =
             failure.handed_over == http::bytes_handed_over::none;
-        return tl::unexpected(failed_append(
+        return tl::unexpected(make_append_failure(
             nothing_sent ? append_failure_kind::unavailable
                          : append_failure_kind::effect_unknown,
             failure.cause));
     }
-    if (succeeded(*answer)) {
-        const auto object = parse_object(answer->body);
+    if (succeeded(*response)) {
+        const auto object = parse_object(response->body);
         const auto offset =
             object ? find_number(*object, "offset") : std::nullopt;
         if (offset)
             return *offset;
-        return tl::unexpected(failed_append(
-            append_failure_kind::effect_unknown, bad_answer("no offset")));
+        return tl::unexpected(make_append_failure(
+            append_failure_kind::effect_unknown,
+            invalid_response("no offset")));
     }
-    // The platform's contract: 429 and 503 say that nothing was appended.
-    append_failure failure =
-        failed_append(append_failure_kind::effect_unknown, refused(*answer));
-    failure.retry_after = retry_after(*answer);
-    if (answer->status == status_too_many_requests)
+    // By the platform's contract, 429 and 503 mean that nothing was appended.
+    append_failure failure = make_append_failure(
+        append_failure_kind::effect_unknown, error_of(*response));
+    failure.retry_after = retry_after(*response);
+    if (response->status == status_too_many_requests)
         failure.kind = append_failure_kind::rate_limited;
-    else if (answer->status == status_unavailable)
+    else if (response->status == status_unavailable)
         failure.kind = append_failure_kind::unavailable;
     else if (
-        answer->status >= client_errors && answer->status < server_errors &&
-        answer->status != status_request_timeout)
+        response->status >= client_errors && response->status < server_errors &&
+        response->status != status_request_timeout)
         failure.kind = append_failure_kind::rejected;
     return tl::unexpected(failure);
 }
 
 core::result<log_page>
-read_page_answer(const http::client_result<http::response>& answer)
+parse_page_response(const http::client_result<http::response>& response)
 {
-    const auto object = GODWIT_TRY(expect_object(answer));
+    const auto object = GODWIT_TRY(expect_object(response));
     const auto first = find_number(object, "first");
     const auto next = find_number(object, "next");
     const auto* records = find_list(object, "records");
     if (!first || !next || records == nullptr)
-        return tl::unexpected(bad_answer("a page lacks a field"));
+        return tl::unexpected(invalid_response("a page lacks a field"));
     log_page page{*first, *next, {}};
     page.records.reserve(records->size());
     for (const json::value& value : *records)
         page.records.push_back(GODWIT_TRY(read_record(value)));
-    if (!in_order(page.records))
-        return tl::unexpected(bad_answer("records are out of order"));
+    if (!is_in_order(page.records))
+        return tl::unexpected(invalid_response("records are out of order"));
     return page;
 }
 
 core::result<std::vector<host_entry>>
-read_hosts_answer(const http::client_result<http::response>& answer)
+parse_hosts_response(const http::client_result<http::response>& response)
 {
-    const auto object = GODWIT_TRY(expect_object(answer));
+    const auto object = GODWIT_TRY(expect_object(response));
     const auto* hosts = find_list(object, "hosts");
     if (hosts == nullptr)
-        return tl::unexpected(bad_answer("there is no list of hosts"));
+        return tl::unexpected(invalid_response("there is no list of hosts"));
     std::vector<host_entry> entries;
     entries.reserve(hosts->size());
     for (const json::value& value : *hosts)
--- a/libraries/platform/src/answers.hpp
+++ b/libraries/platform/src/response_parser.hpp
@@ -11,16 +11,17 @@
 
 namespace godwit::platform {
 
-// Reads of the platform's answers; pure, so that tests need no socket.
+// Parsers for the platform's responses; without I/O, so that tests need no
+// socket.
 
-/// What an append's exchange says of its effect.
+/// Returns the offset of the append, or what is known of its effect.
 [[nodiscard]] append_result
-read_append_answer(const http::client_result<http::response>& answer);
+parse_append_response(const http::client_result<http::response>& response);
 
 [[nodiscard]] core::result<log_page>
-read_page_answer(const http::client_result<http::response>& answer);
+parse_page_response(const http::client_result<http::response>& response);
 
 [[nodiscard]] core::result<std::vector<host_entry>>
-read_hosts_answer(const http::client_result<http::response>& answer);
+parse_hosts_response(const http::client_result<http::response>& response);
 
 } // namespace godwit::platform
--- a/tests/platform/answers_test.cpp
+++ b/tests/platform/response_parser_test.cpp
@@ -1,4 +1,4 @@
-#include "answers.hpp"
+#include "response_parser.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -8,44 +8,45 @@
 
 namespace {
 
-using answer = http::client_result<http::response>;
+using exchange_result = http::client_result<http::response>;
 
-answer with_status(unsigned status, std::string body = "{}")
+exchange_result with_status(unsigned status, std::string body = "{}")
 {
     return http::response{status, {}, std::move(body)};
 }
 
-answer broken(bytes_handed_over handed_over)
+exchange_result connection_error(bytes_handed_over handed_over)
 {
     return tl::unexpected(http::client_error{
         core::error(core::error_kind::timeout, "cut", "wait"), handed_over});
 }
 
-class answers_test : public CppUnit::TestFixture
+class response_parser_test : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(answers_test);
-    CPPUNIT_TEST(test_effect_of_an_append);
-    CPPUNIT_TEST(test_pages);
-    CPPUNIT_TEST(test_hosts);
+    CPPUNIT_TEST_SUITE(response_parser_test);
+    CPPUNIT_TEST(test_append_without_proof_has_unknown_effect);
+    CPPUNIT_TEST(test_invalid_pages_are_refused);
+    CPPUNIT_TEST(test_host_list_is_sorted_and_checked);
     CPPUNIT_TEST_SUITE_END();
 
-    static append_failure_kind failure_of(const answer& given)
+    static append_failure_kind failure_of(const exchange_result& result)
     {
-        return platform::read_append_answer(given).error().kind;
+        return platform::parse_append_response(result).error().kind;
     }
 
-    void test_effect_of_an_append()
+    void test_append_without_proof_has_unknown_effect()
     {
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t{7},
-            platform::read_append_answer(with_status(200, R"({"offset":7})"))
+            platform::parse_append_response(with_status(200, R"({"offset":7})"))
                 .value());
         using kind = append_failure_kind;
-        // Only what proves that nothing was appended may say so.
+        // Only a response that proves it may count as "not appended".
         CPPUNIT_ASSERT(
-            failure_of(broken(bytes_handed_over::none)) == kind::unavailable);
+            failure_of(connection_error(bytes_handed_over::none)) ==
+            kind::unavailable);
         CPPUNIT_ASSERT(
-            failure_of(broken(bytes_handed_over::some)) ==
+            failure_of(connection_error(bytes_handed_over::some)) ==
             kind::effect_unknown);
         CPPUNIT_ASSERT(failure_of(with_status(200)) == kind::effect_unknown);
         CPPUNIT_ASSERT(
@@ -57,19 +58,19 @@
 
         http::response limited{429, {}, ""};
         limited.fields.set("Retry-After", "2");
-        const auto failure = platform::read_append_answer(limited).error();
+        const auto failure = platform::parse_append_response(limited).error();
         CPPUNIT_ASSERT(failure.kind == kind::rate_limited);
         CPPUNIT_ASSERT(failure.retry_after == std::chrono::seconds(2));
     }
 
-    static core::error_kind page_error(const answer& given)
+    static core::error_kind page_error(const exchange_result& result)
     {
-        return platform::read_page_answer(given).error().kind();
+        return platform::parse_page_response(result).error().kind();
     }
 
-    void test_pages()
+    void test_invalid_pages_are_refused()
     {
-        const auto page = platform::read_page_answer(with_status(
+        const auto page = platform::parse_page_response(with_status(
             200,
             R"({"first":2,"next":4,"records":[
                     {"offset":2,"time_ms":5,"data":"a"},
@@ -79,7 +80,8 @@
             (platform::log_page{2, 4, {{2, 5, "a"}, {3, 6, "b"}}}));
         using kind = core::error_kind;
         CPPUNIT_ASSERT(
-            page_error(broken(bytes_handed_over::some)) == kind::timeout);
+            page_error(connection_error(bytes_handed_over::some)) ==
+            kind::timeout);
         CPPUNIT_ASSERT(page_error(with_status(503)) == kind::unavailable);
         CPPUNIT_ASSERT(page_error(with_status(429)) == kind::exhausted);
         CPPUNIT_ASSERT(page_error(with_status(200)) == kind::protocol);
@@ -96,9 +98,9 @@
             kind::protocol);
     }
 
-    void test_hosts()
+    void test_host_list_is_sorted_and_checked()
     {
-        const auto hosts = platform::read_hosts_answer(with_status(
+        const auto hosts = platform::parse_hosts_response(with_status(
             200,
             R"({"hosts":[
                     {"address":"127.0.0.1:2","kind":"engine","name":"e",
@@ -109,11 +111,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hosts->size());
         CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:9"), hosts->front().peer);
         CPPUNIT_ASSERT(hosts->back().state == platform::host_state::leaving);
-        CPPUNIT_ASSERT(!platform::read_hosts_answer(
+        CPPUNIT_ASSERT(!platform::parse_hosts_response(
             with_status(200, R"({"hosts":[{"kind":"moon"}]})")));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(answers_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(response_parser_test);
 
 } // namespace
