--- a/libraries/core/include/godwit/core/error.hpp
+++ b/libraries/core/include/godwit/core/error.hpp
@@ -11,7 +11,7 @@
 class error
 {
 public:
-    /// `message` says what is wrong; `remedy` says what to do about it.
+    /// `message` describes the problem, `remedy` what to do about it.
     error(error_kind kind, std::string message, std::string remedy);
 
     [[nodiscard]] error_kind kind() const noexcept { return kind_; }
--- a/libraries/membership/src/pool_snapshot.cpp
+++ b/libraries/membership/src/pool_snapshot.cpp
@@ -13,7 +13,7 @@
 const service_pool&
 pool_snapshot::pool_of(const core::service_name& service) const
 {
-    static const service_pool nothing;
+    static const service_pool empty_pool;
     const auto found = std::lower_bound(
         pools_.begin(),
         pools_.end(),
@@ -22,7 +22,7 @@
             return pool.service < name;
         });
     if (found == pools_.end() || found->service != service)
-        return nothing;
+        return empty_pool;
     return *found;
 }
 
@@ -31,12 +31,14 @@
 {
     const auto has = [&](const std::vector<eligible_server>& servers) {
         return std::any_of(
-            servers.begin(), servers.end(), [&](const eligible_server& one) {
-                return one.address == server;
+            servers.begin(),
+            servers.end(),
+            [&](const eligible_server& candidate) {
+                return candidate.address == server;
             });
     };
-    const auto& of_service = pool_of(service);
-    return has(of_service.own_zone) || has(of_service.other_zones);
+    const auto& candidates = pool_of(service);
+    return has(candidates.own_zone) || has(candidates.other_zones);
 }
 
 } // namespace godwit::membership
--- a/libraries/settings/src/program_options.cpp
+++ b/libraries/settings/src/program_options.cpp
@@ -42,7 +42,7 @@
     int argument_count,
     char** arguments)
 {
-    static const std::array<option, 5> known = {{
+    static const std::array<option, 5> options = {{
         {"help", no_argument, nullptr, 'h'},
         {"version", no_argument, nullptr, 'v'},
         {"config", required_argument, nullptr, 'c'},
@@ -55,8 +55,8 @@
     optind = 0;
     opterr = 0;
     for (;;) {
-        const int found =
-            getopt_long(argument_count, arguments, ":", known.data(), nullptr);
+        const int found = getopt_long(
+            argument_count, arguments, ":", options.data(), nullptr);
         if (found == -1)
             break;
         switch (found) {
--- a/libraries/settings/src/reader.cpp
+++ b/libraries/settings/src/reader.cpp
@@ -331,13 +331,13 @@
     for (const auto& member : *object_) {
         if (keys_read_.contains(std::string_view(member.key())))
             continue;
-        std::string known;
+        std::string known_keys;
         for (const auto& key : keys_read_)
-            known += (known.empty() ? "" : ", ") + key;
+            known_keys += (known_keys.empty() ? "" : ", ") + key;
         return refuse(
             path_of(member.key()),
             "the key is not known",
-            "remove it, or write one of: " + known);
+            "remove it, or write one of: " + known_keys);
     }
     return {};
 }
--- a/tests/settings/reader_test.cpp
+++ b/tests/settings/reader_test.cpp
@@ -100,18 +100,18 @@
         CPPUNIT_ASSERT(!settings.get_objects("servers", 1));
     }
 
-    static int code_of(std::vector<std::string> words)
+    static int code_of(std::vector<std::string> command_line)
     {
         std::vector<char*> arguments;
-        arguments.reserve(words.size() + 1);
-        for (auto& word : words)
-            arguments.push_back(word.data());
+        arguments.reserve(command_line.size() + 1);
+        for (auto& argument : command_line)
+            arguments.push_back(argument.data());
         arguments.push_back(nullptr);
         const auto parsed = program_options::parse(
             "godwit-test",
             "1",
             "A test.",
-            static_cast<int>(words.size()),
+            static_cast<int>(command_line.size()),
             arguments.data());
         return parsed ? -1 : static_cast<int>(parsed.error().code());
     }
