--- a/libraries/membership/include/godwit/membership/events.hpp
+++ b/libraries/membership/include/godwit/membership/events.hpp
@@ -55,8 +55,8 @@
     answered,     ///< It responded to a request.
     refused,      ///< It refused a connection.
     timed_out,    ///< A connection or a response timed out.
-    failed,       ///< The connection broke, or the response was to
-                  ///< another request.
+    failed,       ///< A broken connection, or a response to another
+                  ///< request.
     leaving,      ///< It responded that it is leaving.
     probe_passed, ///< It responded to a probe as live.
     probe_failed, ///< It did not respond to a probe.
--- a/libraries/membership/include/godwit/membership/server_state.hpp
+++ b/libraries/membership/include/godwit/membership/server_state.hpp
@@ -9,7 +9,7 @@
 {
     live,    ///< Eligible.
     suspect, ///< Failed lately; eligible, but others are preferred.
-    ejected, ///< Not eligible until a time-out ends and a probe passes.
+    ejected, ///< Not eligible for a time; then a probe must pass.
     leaving, ///< Draining: not eligible; running requests may finish.
     gone,    ///< Left: no longer listed, and not responding.
 };
--- a/libraries/platform/include/godwit/platform/log_record.hpp
+++ b/libraries/platform/include/godwit/platform/log_record.hpp
@@ -10,7 +10,8 @@
 {
     std::uint64_t offset = 0;
 
-    /// Time of the append by the log's clock, in Unix milliseconds.
+    /// Time of the append by the log's clock, in milliseconds since
+    /// 1970.
     std::uint64_t time_ms = 0;
 
     std::string data;
--- a/libraries/telemetry/include/godwit/telemetry/state_dump.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/state_dump.hpp
@@ -33,8 +33,7 @@
     [[nodiscard]] std::string to_string() const;
 
     /// Returns the first `max_items` of `items`, each converted by `convert`,
-    /// as
-    /// `{"count", "shown", "items"}`. The limit keeps a dump readable.
+    /// as `{"count", "shown", "items"}`. The limit keeps a dump readable.
     template<std::ranges::sized_range Range, class Convert>
     [[nodiscard]] static boost::json::object
     list(const Range& items, Convert convert, std::size_t max_items = 200)
--- a/libraries/wire/include/godwit/wire/duty_message.hpp
+++ b/libraries/wire/include/godwit/wire/duty_message.hpp
@@ -5,8 +5,8 @@
 
 namespace godwit::wire {
 
-/// A message between the instances of one duty (a task of the agent) on
-/// different hosts; the duty defines kind and body.
+/// A message of one of the agent's duties (its background tasks); the duty
+/// defines kind and body.
 struct duty_message
 {
     std::string duty;
--- a/tests/wire/frame_test.cpp
+++ b/tests/wire/frame_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST_SUITE(frame_test);
     CPPUNIT_TEST(test_every_message_byte_by_byte);
     CPPUNIT_TEST(test_many_frames_in_one_feed);
-    CPPUNIT_TEST(test_bounds);
+    CPPUNIT_TEST(test_frame_limits_are_enforced);
     CPPUNIT_TEST_SUITE_END();
 
     void test_every_message_byte_by_byte()
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(!decoder.next().value());
     }
 
-    void test_bounds()
+    void test_frame_limits_are_enforced()
     {
         CPPUNIT_ASSERT(!frame_encoder::create(0));
         CPPUNIT_ASSERT(!frame_decoder::create(std::size_t{1} << 33));
