--- a/libraries/core/include/godwit/core/error.hpp
+++ b/libraries/core/include/godwit/core/error.hpp
@@ -7,11 +7,11 @@
 
 namespace godwit::core {
 
-/// A failure: what happened, and what the reader can do about it.
+/// An error with a message for people and advice on what to do about it.
 class error
 {
 public:
-    /// `message` says what is wrong; `remedy` says what to do about it.
+    /// `message` describes the problem, `remedy` what to do about it.
     error(error_kind kind, std::string message, std::string remedy);
 
     [[nodiscard]] error_kind kind() const noexcept { return kind_; }
@@ -23,7 +23,7 @@
 
     [[nodiscard]] const std::string& remedy() const noexcept { return remedy_; }
 
-    /// "message; remedy", as one line for people.
+    /// Returns "message; remedy", or the message alone if there is no remedy.
     [[nodiscard]] std::string to_string() const;
 
     friend bool operator==(const error&, const error&) = default;
