--- a/libraries/placement/bench/main.cpp
+++ b/libraries/placement/bench/main.cpp
@@ -79,7 +79,7 @@
     service.engine = routing::engine_profile{
         .slots = 24, .memory_tokens = 34'000, .tokens_per_event = 4};
     for (std::size_t engine = 0; engine < engines; ++engine)
-        directory.listed(
+        directory.update(
             backend_server{
                 engine_id(engine),
                 service.name,
--- a/libraries/placement/include/godwit/placement/server_directory.hpp
+++ b/libraries/placement/include/godwit/placement/server_directory.hpp
@@ -51,15 +51,15 @@
     /// Applies a record of the server. Records that are older than the known
     /// one, or of a former incarnation, are ignored. Another server of the
     /// service with the same address has ended and is marked as draining.
-    directory_change listed(const backend_server& server, core::time_point now);
+    directory_change update(const backend_server& server, core::time_point now);
 
     /// Notes that the source still lists the server: its record did not expire,
     /// or was restored unchanged. Has no effect on a draining server.
-    void still_listed(const server_id& id);
+    void confirm(const server_id& id);
 
     /// Notes that the source removed the server's record.
     directory_change
-    delisted(const server_id& id, source_state source, core::time_point now);
+    remove(const server_id& id, source_state source, core::time_point now);
 
     /// Marks servers whose grace period ended as draining and returns them;
     /// removes servers that left longer than `departed_retention` ago.
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -80,7 +80,7 @@
 }
 
 directory_change
-server_directory::listed(const backend_server& server, core::time_point now)
+server_directory::update(const backend_server& server, core::time_point now)
 {
     const auto found = servers_.find(server.id);
     if (found == servers_.end())
@@ -104,14 +104,14 @@
     return was_usable ? directory_change::none : directory_change::appeared;
 }
 
-void server_directory::still_listed(const server_id& id)
+void server_directory::confirm(const server_id& id)
 {
     const auto found = servers_.find(id);
     if (found != servers_.end())
         found->second.missing_since.reset();
 }
 
-directory_change server_directory::delisted(
+directory_change server_directory::remove(
     const server_id& id, source_state source, core::time_point now)
 {
     const auto found = servers_.find(id);
--- a/libraries/replay/src/simulated_host.cpp
+++ b/libraries/replay/src/simulated_host.cpp
@@ -29,7 +29,7 @@
 void simulated_host::add_server(
     const placement::backend_server& server, core::time_point now)
 {
-    directory_.listed(server, now);
+    directory_.update(server, now);
 }
 
 void simulated_host::enqueue(
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -206,7 +206,7 @@
     const placement::backend_server* known = context_.directory.find(server.id);
     const http::endpoint previous_address =
         known != nullptr ? known->address : server.address;
-    switch (context_.directory.listed(server, core::monotonic_now())) {
+    switch (context_.directory.update(server, core::monotonic_now())) {
     case placement::directory_change::none:
         return;
     case placement::directory_change::left:
@@ -270,7 +270,7 @@
 
 void entry_process::confirm_server(const placement::server_id& server)
 {
-    context_.directory.still_listed(server);
+    context_.directory.confirm(server);
 }
 
 void entry_process::remove_server(
@@ -278,7 +278,7 @@
 {
     const core::time_point now = core::monotonic_now();
     const auto change =
-        context_.directory.delisted(server, outage_.state_at(now), now);
+        context_.directory.remove(server, outage_.state_at(now), now);
     if (change == placement::directory_change::left)
         on_server_draining(server, source);
 }
--- a/tests/entry/migrator_test.cpp
+++ b/tests/entry/migrator_test.cpp
@@ -181,7 +181,7 @@
         bool is_copy_turn_free = false;
         call_fixture::run([&](call_fixture& fixture) -> asio::awaitable<void> {
             for (const char* id : {"i-1", "i-2"})
-                fixture.context.directory.listed(
+                fixture.context.directory.update(
                     make_server(id, id[2] - '0'), core::monotonic_now());
             const auto migrator_under_test =
                 fixture.make_migrator(migration_cause::server_draining);
--- a/tests/entry/report_poller_test.cpp
+++ b/tests/entry/report_poller_test.cpp
@@ -64,7 +64,7 @@
                 .neighbours = any_port(),
                 .seeds = {}},
             words);
-        context.directory.listed(
+        context.directory.update(
             placement::backend_server{
                 id, core::service_name("lm"), any_port(), {}},
             core::monotonic_now());
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -68,8 +68,8 @@
         request_.service = &service_;
         request_.work = {1, 1000, 0};
         request_.preferred_zone = zone_name("east");
-        directory_.listed(sample_server(1), at_ms(0));
-        directory_.listed(sample_server(2), at_ms(0));
+        directory_.update(sample_server(1), at_ms(0));
+        directory_.update(sample_server(2), at_ms(0));
     }
 
 private:
@@ -143,7 +143,7 @@
     {
         request_.excluded = {server_id("i-1")};
         CPPUNIT_ASSERT_EQUAL(std::string("i-2"), choose());
-        directory_.listed(draining(sample_server(2)), at_ms(0));
+        directory_.update(draining(sample_server(2)), at_ms(0));
         CPPUNIT_ASSERT_EQUAL(std::string("no server"), choose());
     }
 
@@ -169,7 +169,7 @@
 
     void test_starts_stay_in_the_zone_unless_it_is_much_more_loaded()
     {
-        directory_.listed(sample_server(3, "west"), at_ms(0));
+        directory_.update(sample_server(3, "west"), at_ms(0));
         ledger_.add(server_id("i-1"), {1, 2500, 0});
         ledger_.add(server_id("i-2"), {1, 2500, 0});
         CPPUNIT_ASSERT(choose() != "i-3");
@@ -180,7 +180,7 @@
 
     void test_migrations_stay_in_the_zone()
     {
-        directory_.listed(sample_server(3, "west"), at_ms(0));
+        directory_.update(sample_server(3, "west"), at_ms(0));
         ledger_.add(server_id("i-1"), {1, 3000, 0});
         ledger_.add(server_id("i-2"), {1, 3000, 0});
         request_.purpose = placement_purpose::migration;
@@ -192,7 +192,7 @@
     // their copies would wait for each other on its link.
     void test_simultaneous_migrations_spread_over_servers()
     {
-        directory_.listed(sample_server(3), at_ms(0));
+        directory_.update(sample_server(3), at_ms(0));
         request_.purpose = placement_purpose::migration;
         std::set<std::string> chosen;
         for (std::uint64_t host = 0; host < 12; ++host) {
@@ -325,7 +325,7 @@
     {
         ledger_.add(server_id("i-1"), {1, 3000, 0});
         ledger_.add(server_id("i-2"), {1, 3000, 0});
-        directory_.listed(sample_server(3), at_ms(2000));
+        directory_.update(sample_server(3), at_ms(2000));
     }
 
     // Hosts of other cells learn late what a new server got already.
@@ -363,7 +363,7 @@
 
     void test_a_run_is_rebalanced_to_a_server_with_spare_memory()
     {
-        directory_.listed(remote_.server, at_ms(0));
+        directory_.update(remote_.server, at_ms(0));
         ledger_.add(server_id("i-1"), {1, 4500, 0});
         ledger_.add(server_id("i-2"), {2, 4400, 0});
         CPPUNIT_ASSERT(rebalancer_.is_due(remote_, at_ms(0)));
@@ -373,8 +373,8 @@
 
     void test_a_run_is_not_rebalanced_to_a_loaded_zone()
     {
-        directory_.listed(remote_.server, at_ms(0));
-        directory_.listed(sample_server(8, "west"), at_ms(0));
+        directory_.update(remote_.server, at_ms(0));
+        directory_.update(sample_server(8, "west"), at_ms(0));
         // Starts would fit here, and there is an empty server in the west.
         ledger_.add(server_id("i-1"), {1, 4600, 0});
         ledger_.add(server_id("i-2"), {1, 4600, 0});
@@ -442,7 +442,7 @@
             auto server = sample_server(number, number < 3 ? "east" : "west");
             server.slots = 24;
             server.revision = 2;
-            directory_.listed(server, at_ms(0));
+            directory_.update(server, at_ms(0));
         }
         for (int count = 0; count < 10; ++count) {
             const std::string chosen = choose();
--- a/tests/placement/server_directory_test.cpp
+++ b/tests/placement/server_directory_test.cpp
@@ -37,25 +37,25 @@
     void test_a_draining_server_stays_known()
     {
         CPPUNIT_ASSERT(
-            directory_.listed(sample_server(1), at_ms(0)) ==
+            directory_.update(sample_server(1), at_ms(0)) ==
             directory_change::appeared);
         CPPUNIT_ASSERT(
-            directory_.listed(draining(sample_server(1)), at_ms(10)) ==
+            directory_.update(draining(sample_server(1)), at_ms(10)) ==
             directory_change::left);
         CPPUNIT_ASSERT(!directory_.is_usable(server_id("i-1")));
         CPPUNIT_ASSERT(directory_.find(server_id("i-1")) != nullptr);
         CPPUNIT_ASSERT(directory_.usable(service_name("lm")).empty());
         CPPUNIT_ASSERT(
-            directory_.listed(draining(sample_server(1)), at_ms(20)) ==
+            directory_.update(draining(sample_server(1)), at_ms(20)) ==
             directory_change::none);
     }
 
     void test_an_older_record_does_not_restore_a_server()
     {
-        directory_.listed(sample_server(1, "east", 5), at_ms(0));
-        directory_.listed(draining(sample_server(1, "east", 5)), at_ms(10));
+        directory_.update(sample_server(1, "east", 5), at_ms(0));
+        directory_.update(draining(sample_server(1, "east", 5)), at_ms(10));
         CPPUNIT_ASSERT(
-            directory_.listed(sample_server(1, "east", 5), at_ms(20)) ==
+            directory_.update(sample_server(1, "east", 5), at_ms(20)) ==
             directory_change::none);
         CPPUNIT_ASSERT(!directory_.is_usable(server_id("i-1")));
     }
@@ -65,26 +65,26 @@
     // newer one again, the hosts would send each other updates forever.
     void test_an_older_draining_record_is_ignored()
     {
-        directory_.listed(sample_server(1, "east", 7), at_ms(0));
+        directory_.update(sample_server(1, "east", 7), at_ms(0));
         auto older = sample_server(1, "east", 6);
         older.state = server_state::draining;
         CPPUNIT_ASSERT(
-            directory_.listed(older, at_ms(10)) == directory_change::none);
+            directory_.update(older, at_ms(10)) == directory_change::none);
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
         // At the same revision, draining is the later state.
         older.revision = 7;
         CPPUNIT_ASSERT(
-            directory_.listed(older, at_ms(20)) == directory_change::left);
+            directory_.update(older, at_ms(20)) == directory_change::left);
         CPPUNIT_ASSERT(
-            directory_.listed(sample_server(1, "east", 7), at_ms(30)) ==
+            directory_.update(sample_server(1, "east", 7), at_ms(30)) ==
             directory_change::none);
     }
 
     void test_a_removed_record_means_draining()
     {
-        directory_.listed(sample_server(1), at_ms(0));
+        directory_.update(sample_server(1), at_ms(0));
         CPPUNIT_ASSERT(
-            directory_.delisted(
+            directory_.remove(
                 server_id("i-1"), source_state::steady, at_ms(5)) ==
             directory_change::left);
         CPPUNIT_ASSERT(!directory_.is_usable(server_id("i-1")));
@@ -92,9 +92,9 @@
 
     void test_an_expired_record_has_a_grace_period()
     {
-        directory_.listed(sample_server(1), at_ms(0));
+        directory_.update(sample_server(1), at_ms(0));
         CPPUNIT_ASSERT(
-            directory_.delisted(
+            directory_.remove(
                 server_id("i-1"), source_state::recovering, at_ms(100)) ==
             directory_change::none);
         CPPUNIT_ASSERT(directory_.expire(at_ms(2099)).empty());
@@ -106,28 +106,28 @@
 
     void test_a_server_that_registers_again_stays()
     {
-        directory_.listed(sample_server(1, "east", 1), at_ms(0));
-        directory_.delisted(
+        directory_.update(sample_server(1, "east", 1), at_ms(0));
+        directory_.remove(
             server_id("i-1"), source_state::recovering, at_ms(100));
-        directory_.listed(sample_server(1, "east", 2), at_ms(1500));
+        directory_.update(sample_server(1, "east", 2), at_ms(1500));
         CPPUNIT_ASSERT(directory_.expire(at_ms(5000)).empty());
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
     }
 
     void test_a_new_server_replaces_the_one_at_its_address()
     {
-        directory_.listed(sample_server(1), at_ms(0));
+        directory_.update(sample_server(1), at_ms(0));
         auto next = sample_server(2);
         next.address = sample_server(1).address;
-        directory_.listed(next, at_ms(10));
+        directory_.update(next, at_ms(10));
         CPPUNIT_ASSERT(!directory_.is_usable(server_id("i-1")));
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-2")));
     }
 
     void test_departed_servers_are_forgotten()
     {
-        directory_.listed(sample_server(1), at_ms(0));
-        directory_.listed(draining(sample_server(1)), at_ms(0));
+        directory_.update(sample_server(1), at_ms(0));
+        directory_.update(draining(sample_server(1)), at_ms(0));
         CPPUNIT_ASSERT(directory_.expire(at_ms(59999)).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, directory_.size());
         CPPUNIT_ASSERT(directory_.expire(at_ms(60000)).empty());
@@ -136,14 +136,14 @@
 
     void test_servers_of_the_initial_list_did_not_join()
     {
-        directory_.listed(sample_server(1), at_ms(0));
-        directory_.listed(sample_server(2), at_ms(1000));
-        directory_.listed(sample_server(3), at_ms(1001));
+        directory_.update(sample_server(1), at_ms(0));
+        directory_.update(sample_server(2), at_ms(1000));
+        directory_.update(sample_server(3), at_ms(1001));
         CPPUNIT_ASSERT(!directory_.joined_at(server_id("i-1")));
         CPPUNIT_ASSERT(!directory_.joined_at(server_id("i-2")));
         CPPUNIT_ASSERT(directory_.joined_at(server_id("i-3")) == at_ms(1001));
         // A newer record is not another server.
-        directory_.listed(sample_server(3, "east", 2), at_ms(5000));
+        directory_.update(sample_server(3, "east", 2), at_ms(5000));
         CPPUNIT_ASSERT(directory_.joined_at(server_id("i-3")) == at_ms(1001));
     }
 
@@ -157,24 +157,24 @@
 
     void test_a_restarted_server_replaces_its_former_incarnation()
     {
-        directory_.listed(with_start(1000, 50), at_ms(0));
+        directory_.update(with_start(1000, 50), at_ms(0));
         auto next = with_start(2000, 0);
         next.address = sample_server(7).address;
         CPPUNIT_ASSERT(
-            directory_.listed(next, at_ms(10)) == directory_change::restarted);
+            directory_.update(next, at_ms(10)) == directory_change::restarted);
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
         CPPUNIT_ASSERT(*directory_.find(server_id("i-1")) == next);
         CPPUNIT_ASSERT(directory_.joined_at(server_id("i-1")) == at_ms(10));
         CPPUNIT_ASSERT(
-            directory_.listed(next, at_ms(20)) == directory_change::none);
+            directory_.update(next, at_ms(20)) == directory_change::none);
     }
 
     void test_a_server_may_restart_while_it_drains()
     {
-        directory_.listed(with_start(1000, 50), at_ms(0));
-        directory_.listed(draining(with_start(1000, 50)), at_ms(5));
+        directory_.update(with_start(1000, 50), at_ms(0));
+        directory_.update(draining(with_start(1000, 50)), at_ms(5));
         CPPUNIT_ASSERT(
-            directory_.listed(with_start(2000, 1), at_ms(10)) ==
+            directory_.update(with_start(2000, 1), at_ms(10)) ==
             directory_change::restarted);
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
         CPPUNIT_ASSERT(!directory_.left_at(server_id("i-1")));
@@ -182,16 +182,16 @@
 
     void test_records_of_a_former_incarnation_are_ignored()
     {
-        directory_.listed(with_start(2000, 1), at_ms(0));
+        directory_.update(with_start(2000, 1), at_ms(0));
         CPPUNIT_ASSERT(
-            directory_.listed(with_start(1000, 90), at_ms(10)) ==
+            directory_.update(with_start(1000, 90), at_ms(10)) ==
             directory_change::none);
         CPPUNIT_ASSERT(
-            directory_.listed(draining(with_start(1000, 90)), at_ms(20)) ==
+            directory_.update(draining(with_start(1000, 90)), at_ms(20)) ==
             directory_change::none);
         // From a source that does not know start times.
         CPPUNIT_ASSERT(
-            directory_.listed(draining(with_start(0, 90)), at_ms(30)) ==
+            directory_.update(draining(with_start(0, 90)), at_ms(30)) ==
             directory_change::none);
         CPPUNIT_ASSERT(
             *directory_.find(server_id("i-1")) == with_start(2000, 1));
@@ -200,36 +200,36 @@
 
     void test_the_revision_orders_records_of_one_incarnation()
     {
-        directory_.listed(with_start(2000, 5), at_ms(0));
+        directory_.update(with_start(2000, 5), at_ms(0));
         CPPUNIT_ASSERT(
-            directory_.listed(draining(with_start(2000, 3)), at_ms(10)) ==
+            directory_.update(draining(with_start(2000, 3)), at_ms(10)) ==
             directory_change::none);
         CPPUNIT_ASSERT(
-            directory_.listed(draining(with_start(2000, 5)), at_ms(20)) ==
+            directory_.update(draining(with_start(2000, 5)), at_ms(20)) ==
             directory_change::left);
         CPPUNIT_ASSERT(
-            directory_.listed(with_start(2000, 7), at_ms(30)) ==
+            directory_.update(with_start(2000, 7), at_ms(30)) ==
             directory_change::appeared);
     }
 
     void test_a_start_time_that_becomes_known_is_no_restart()
     {
-        directory_.listed(with_start(0, 50), at_ms(0));
+        directory_.update(with_start(0, 50), at_ms(0));
         CPPUNIT_ASSERT(
-            directory_.listed(with_start(1000, 50), at_ms(10)) ==
+            directory_.update(with_start(1000, 50), at_ms(10)) ==
             directory_change::none);
         CPPUNIT_ASSERT(
             *directory_.find(server_id("i-1")) == with_start(1000, 50));
         CPPUNIT_ASSERT(
-            directory_.listed(with_start(2000, 1), at_ms(20)) ==
+            directory_.update(with_start(2000, 1), at_ms(20)) ==
             directory_change::restarted);
     }
 
     void test_a_restarted_server_that_drains_is_not_usable()
     {
-        directory_.listed(with_start(1000, 50), at_ms(0));
+        directory_.update(with_start(1000, 50), at_ms(0));
         CPPUNIT_ASSERT(
-            directory_.listed(draining(with_start(2000, 1)), at_ms(10)) ==
+            directory_.update(draining(with_start(2000, 1)), at_ms(10)) ==
             directory_change::restarted);
         CPPUNIT_ASSERT(!directory_.is_usable(server_id("i-1")));
         CPPUNIT_ASSERT(directory_.left_at(server_id("i-1")) == at_ms(10));
@@ -237,10 +237,10 @@
 
     void test_a_restart_ends_the_grace_period()
     {
-        directory_.listed(with_start(1000, 50), at_ms(0));
-        directory_.delisted(
+        directory_.update(with_start(1000, 50), at_ms(0));
+        directory_.remove(
             server_id("i-1"), source_state::recovering, at_ms(100));
-        directory_.listed(with_start(2000, 0), at_ms(1500));
+        directory_.update(with_start(2000, 0), at_ms(1500));
         CPPUNIT_ASSERT(directory_.expire(at_ms(5000)).empty());
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
     }
@@ -248,11 +248,11 @@
     // A record written by someone else may have any address.
     void test_a_record_of_another_service_evicts_no_server()
     {
-        directory_.listed(sample_server(1), at_ms(0));
+        directory_.update(sample_server(1), at_ms(0));
         auto other = sample_server(2);
         other.address = sample_server(1).address;
         other.service = service_name("unknown");
-        directory_.listed(other, at_ms(10));
+        directory_.update(other, at_ms(10));
         CPPUNIT_ASSERT(directory_.is_usable(server_id("i-1")));
     }
 };
--- a/tests/platform_adapter/restored_servers_model_test.cpp
+++ b/tests/platform_adapter/restored_servers_model_test.cpp
@@ -198,11 +198,11 @@
         const bool was_usable = host.is_usable();
         host.is_missing = record.state == record_state::deleted;
         if (record.state == record_state::deleted) {
-            host.directory.delisted(
+            host.directory.remove(
                 id(), host.outage.state_at(at_ms(time_ms_)), at_ms(time_ms_));
         } else {
-            host.directory.listed(server_of(record), at_ms(time_ms_));
-            host.directory.still_listed(id());
+            host.directory.update(server_of(record), at_ms(time_ms_));
+            host.directory.confirm(id());
         }
         update_flags(host, was_usable);
     }
