--- a/libraries/admission/include/godwit/admission/generation_size.hpp
+++ b/libraries/admission/include/godwit/admission/generation_size.hpp
@@ -21,7 +21,7 @@
     [[nodiscard]] std::uint64_t expected_output_tokens() const noexcept;
 
     /// The part of the expected output that is still to be written.
-    [[nodiscard]] std::uint64_t tokens_left() const noexcept;
+    [[nodiscard]] std::uint64_t remaining_tokens() const noexcept;
 
     /// Whether it frees its memory shortly after its start.
     [[nodiscard]] bool is_short() const noexcept;
--- a/libraries/admission/src/generation_size.cpp
+++ b/libraries/admission/src/generation_size.cpp
@@ -40,7 +40,7 @@
         static_cast<std::uint64_t>(estimate), parameters_.max_output_tokens);
 }
 
-std::uint64_t generation_size::tokens_left() const noexcept
+std::uint64_t generation_size::remaining_tokens() const noexcept
 {
     const std::uint64_t expected = expected_output_tokens();
     return expected - std::min(expected, written_tokens_);
@@ -65,7 +65,7 @@
     work.requests = 1;
     work.tokens =
         parameters_.prompt_tokens + written_tokens_ +
-        std::clamp(tokens_left(), min_growth_tokens, max_growth_tokens);
+        std::clamp(remaining_tokens(), min_growth_tokens, max_growth_tokens);
     return work;
 }
 
--- a/libraries/placement/include/godwit/placement/copy_queue.hpp
+++ b/libraries/placement/include/godwit/placement/copy_queue.hpp
@@ -14,7 +14,7 @@
 /// lost otherwise, for each token that has to be copied. A run that ends by
 /// itself during the notice period, or has not started, needs no copy.
 [[nodiscard]] double
-copy_priority(std::uint64_t tokens_left, const work_size& memory) noexcept;
+copy_priority(std::uint64_t remaining_tokens, const work_size& memory) noexcept;
 
 /// Priority queues of a host's KV cache copies, one for each source server.
 ///
@@ -38,7 +38,7 @@
     [[nodiscard]] bool try_start(const server_id& server, ticket copy);
 
     /// Removes a copy that is completed or cancelled.
-    void end(const server_id& server, ticket copy);
+    void finish(const server_id& server, ticket copy);
 
 private:
     struct server_queue
--- a/libraries/placement/include/godwit/placement/zone_rebalancer.hpp
+++ b/libraries/placement/include/godwit/placement/zone_rebalancer.hpp
@@ -15,7 +15,7 @@
 {
     backend_server server;
     work_size work;
-    std::uint64_t tokens_left = 0; ///< Expected remaining output.
+    std::uint64_t remaining_tokens = 0; ///< Expected remaining output.
     /// When a server of the same service was last seen to start draining.
     std::optional<core::time_point> last_departure;
 
@@ -37,7 +37,7 @@
         std::chrono::milliseconds(200);
     /// A run with fewer remaining tokens ends at about the time when its copy
     /// would be complete.
-    static constexpr std::uint64_t min_tokens_left = 64;
+    static constexpr std::uint64_t min_remaining_tokens = 64;
 
     /// How long runs are not rebalanced after a server was seen to drain: its
     /// runs need the links, and a rebalanced run would delay one that is lost
--- a/libraries/placement/src/copy_queue.cpp
+++ b/libraries/placement/src/copy_queue.cpp
@@ -5,9 +5,9 @@
 namespace godwit::placement {
 
 double
-copy_priority(std::uint64_t tokens_left, const work_size& memory) noexcept
+copy_priority(std::uint64_t remaining_tokens, const work_size& memory) noexcept
 {
-    return static_cast<double>(tokens_left) /
+    return static_cast<double>(remaining_tokens) /
            static_cast<double>(std::max<std::uint64_t>(memory.tokens, 1));
 }
 
@@ -43,7 +43,7 @@
     return true;
 }
 
-void copy_queue::end(const server_id& server, ticket copy)
+void copy_queue::finish(const server_id& server, ticket copy)
 {
     const auto found = queues_.find(server);
     if (found == queues_.end())
--- a/libraries/placement/src/zone_rebalancer.cpp
+++ b/libraries/placement/src/zone_rebalancer.cpp
@@ -7,7 +7,7 @@
     if (run.last_departure && now < *run.last_departure + departure_cooldown)
         return false;
     return may_attempt(run.server.zone, now) &&
-           run.tokens_left >= min_tokens_left;
+           run.remaining_tokens >= min_remaining_tokens;
 }
 
 placement_request zone_rebalancer::make_request(
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -42,7 +42,7 @@
         std::shared_ptr<const routed_call> call,
         std::shared_ptr<upstream> source,
         placement::work_size work,
-        std::uint64_t tokens_left,
+        std::uint64_t remaining_tokens,
         migration_cause cause);
 
     /// Starts the migration.
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -66,7 +66,7 @@
         std::optional<resume_point> resume_from) const;
     [[nodiscard]] admission::generation_size size() const;
     [[nodiscard]] placement::work_size migrated_work() const;
-    [[nodiscard]] std::uint64_t tokens_left() const;
+    [[nodiscard]] std::uint64_t remaining_tokens() const;
     void exclude_server(const placement::backend_server& server);
     void attach_to(std::shared_ptr<upstream> server_exchange);
     void detach_from_server();
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -66,10 +66,10 @@
     std::shared_ptr<const routed_call> call,
     std::shared_ptr<upstream> source,
     placement::work_size work,
-    std::uint64_t tokens_left,
+    std::uint64_t remaining_tokens,
     migration_cause cause)
     : context_(context), call_(std::move(call)), source_(std::move(source)),
-      work_(work), priority_(placement::copy_priority(tokens_left, work)),
+      work_(work), priority_(placement::copy_priority(remaining_tokens, work)),
       cause_(cause), finished_signal_(context.executor),
       started_at_(core::monotonic_now())
 {
@@ -130,7 +130,7 @@
 
 void migrator::end_copy_turn()
 {
-    context_.copy_queue.end(source_->server().id, ticket_);
+    context_.copy_queue.finish(source_->server().id, ticket_);
 }
 
 asio::awaitable<void> migrator::run()
--- a/services/entry/src/stream_call_migration.cpp
+++ b/services/entry/src/stream_call_migration.cpp
@@ -34,12 +34,12 @@
 }
 
 // A generation that has not started has no KV cache to migrate.
-std::uint64_t stream_call::tokens_left() const
+std::uint64_t stream_call::remaining_tokens() const
 {
     if (timing_.events == 0 || !call_->metadata.generation ||
         !call_->service.engine)
         return 0;
-    return size().tokens_left();
+    return size().remaining_tokens();
 }
 
 void stream_call::stop_migration()
@@ -101,7 +101,7 @@
     if (!can_migrate || migration_ || is_caller_disconnected_)
         return;
     migration_ = std::make_shared<migrator>(
-        context_, call_, active_, migrated_work(), tokens_left(), cause);
+        context_, call_, active_, migrated_work(), remaining_tokens(), cause);
     migration_->start();
 }
 
@@ -115,7 +115,7 @@
     const placement::remote_run run{
         active_->server(),
         migrated_work(),
-        tokens_left(),
+        remaining_tokens(),
         context_.directory.last_departure(call_->service.name)};
     if (!rebalancer_.is_due(run, now))
         return;
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -63,7 +63,7 @@
     {
         const auto overrunning =
             generation_size::create({3000, 4000, 400}, 2500);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, overrunning.tokens_left());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, overrunning.remaining_tokens());
         CPPUNIT_ASSERT_EQUAL(
             std::uint64_t{3000 + 2500 + 50},
             overrunning.migrated_work().tokens);
--- a/tests/placement/copy_queue_test.cpp
+++ b/tests/placement/copy_queue_test.cpp
@@ -29,7 +29,7 @@
         CPPUNIT_ASSERT(!queue_.try_start(first_, half_done));
         CPPUNIT_ASSERT(queue_.try_start(first_, just_started));
         CPPUNIT_ASSERT(!queue_.try_start(first_, half_done));
-        queue_.end(first_, just_started);
+        queue_.finish(first_, just_started);
         CPPUNIT_ASSERT(!queue_.try_start(first_, nearly_done));
         CPPUNIT_ASSERT(queue_.try_start(first_, half_done));
     }
@@ -54,11 +54,11 @@
     {
         const auto cancelled = queue_.enqueue(first_, 0.9);
         const auto next = queue_.enqueue(first_, 0.1);
-        queue_.end(first_, cancelled);
+        queue_.finish(first_, cancelled);
         CPPUNIT_ASSERT(!queue_.try_start(first_, cancelled));
         CPPUNIT_ASSERT(queue_.try_start(first_, next));
-        queue_.end(first_, next);
-        queue_.end(first_, next);
+        queue_.finish(first_, next);
+        queue_.finish(first_, next);
         CPPUNIT_ASSERT(!queue_.try_start(first_, next));
     }
 
--- a/tests/placement/placer_test.cpp
+++ b/tests/placement/placer_test.cpp
@@ -391,7 +391,7 @@
         in_zone.server.zone = zone_name("east");
         CPPUNIT_ASSERT(!rebalancer_.is_due(in_zone, at_ms(1400)));
         remote_run ending = remote_;
-        ending.tokens_left = 63;
+        ending.remaining_tokens = 63;
         CPPUNIT_ASSERT(!rebalancer_.is_due(ending, at_ms(1400)));
     }
 
