--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -62,7 +62,7 @@
     placement::slow_server_detector slow_servers;
     placement::server_limits limits;
     /// Servers whose invalid limits were logged.
-    std::set<placement::server_id> invalid_limits_from;
+    std::set<placement::server_id> servers_with_invalid_limit;
     placement::placer placer;
     admission::request_quarantine quarantine;
     std::map<placement::server_id, std::shared_ptr<crash_probe>> crash_probes;
--- a/services/entry/include/godwit/entry/wire_codec.hpp
+++ b/services/entry/include/godwit/entry/wire_codec.hpp
@@ -36,7 +36,7 @@
         } -> std::same_as<request_metadata>;
     // Returns the header fields of a request to a backend server.
     {
-        Codec::forwarded_fields(fields, forwarding)
+        Codec::request_fields(fields, forwarding)
         } -> std::same_as<http::header_fields>;
     // Reads the header fields of a backend server's response.
     {
@@ -44,7 +44,7 @@
         } -> std::same_as<response_metadata>;
     // Returns the header fields of a response to the caller.
     {
-        Codec::returned_fields(fields)
+        Codec::response_fields(fields)
         } -> std::same_as<http::header_fields>;
     {
         Codec::write_copy_request(copy)
@@ -75,7 +75,7 @@
         } -> std::same_as<core::result<server_report>>;
     // Begins to parse a route table as its operator wrote it.
     {
-        Codec::start_reading_table(handle)
+        Codec::make_table_parser(handle)
         } -> std::same_as<table_parser>;
 };
 
@@ -84,10 +84,10 @@
 struct codec_functions
 {
     request_metadata (*read_request_metadata)(const http::header_fields&);
-    http::header_fields (*forwarded_fields)(
+    http::header_fields (*request_fields)(
         const http::header_fields&, const forwarding_metadata&);
     response_metadata (*read_response_metadata)(const http::header_fields&);
-    http::header_fields (*returned_fields)(const http::header_fields&);
+    http::header_fields (*response_fields)(const http::header_fields&);
     http::request (*write_copy_request)(const copy_request&);
     copy_response (*read_copy_response)(const http::response&);
     http::request (*write_copy_release)(const std::string&);
@@ -96,16 +96,16 @@
     http::request (*write_hold_release)(const std::string&);
     http::request (*write_report_request)();
     core::result<server_report> (*read_report)(const http::response&);
-    table_parser (*start_reading_table)(std::string_view);
+    table_parser (*make_table_parser)(std::string_view);
 
     template<wire_codec Codec>
     [[nodiscard]] static constexpr codec_functions of() noexcept
     {
         return codec_functions{
             &Codec::read_request_metadata,
-            &Codec::forwarded_fields,
+            &Codec::request_fields,
             &Codec::read_response_metadata,
-            &Codec::returned_fields,
+            &Codec::response_fields,
             &Codec::write_copy_request,
             &Codec::read_copy_response,
             &Codec::write_copy_release,
@@ -114,7 +114,7 @@
             &Codec::write_hold_release,
             &Codec::write_report_request,
             &Codec::read_report,
-            &Codec::start_reading_table};
+            &Codec::make_table_parser};
     }
 };
 
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -242,7 +242,7 @@
     result.is_failure = is_error;
     result.response = http::response{
         head->status,
-        context_.codec.returned_fields(head->fields),
+        context_.codec.response_fields(head->fields),
         std::move(*body)};
     co_return result;
 }
--- a/services/entry/src/call_messages.cpp
+++ b/services/entry/src/call_messages.cpp
@@ -21,7 +21,7 @@
     return http::request{
         received.method,
         received.target,
-        context.codec.forwarded_fields(received.fields, metadata),
+        context.codec.request_fields(received.fields, metadata),
         received.body};
 }
 
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -90,7 +90,7 @@
       loader_(
           io.get_executor(),
           table_loader::handlers{
-              context_.codec.start_reading_table,
+              context_.codec.make_table_parser,
               [this](const received_table& table) {
                   return is_new_table(table);
               },
@@ -265,7 +265,7 @@
 void entry_process::forget_limit(const placement::server_id& server)
 {
     context_.limits.forget(server);
-    context_.invalid_limits_from.erase(server);
+    context_.servers_with_invalid_limit.erase(server);
 }
 
 void entry_process::confirm_server(const placement::server_id& server)
--- a/services/entry/src/server_limit_exchange.cpp
+++ b/services/entry/src/server_limit_exchange.cpp
@@ -73,7 +73,7 @@
                 "godwit_refused_limits_total",
                 "Answers of servers that name a limit which is none.")
             .Increment();
-        if (context.invalid_limits_from.insert(server.id).second)
+        if (context.servers_with_invalid_limit.insert(server.id).second)
             log_invalid_server_limit(server.id);
         return;
     }
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -228,7 +228,7 @@
     metrics_.finished(core::outcome::completed, core::monotonic_now());
     http::response response{
         head.status,
-        context_.codec.returned_fields(head.fields),
+        context_.codec.response_fields(head.fields),
         std::move(*body)};
     [[maybe_unused]] const auto sent =
         co_await call_->exchange.respond(std::move(response));
@@ -246,7 +246,7 @@
 asio::awaitable<void> stream_call::relay(http::response_head head)
 {
     auto started = co_await call_->exchange.start_stream(
-        head.status, context_.codec.returned_fields(head.fields));
+        head.status, context_.codec.response_fields(head.fields));
     if (!started)
         co_return;
     while (!is_caller_disconnected_) {
--- a/tests/platform_adapter/codec_test.cpp
+++ b/tests/platform_adapter/codec_test.cpp
@@ -180,7 +180,7 @@
         metadata.server = placement::server_id("i-1");
         metadata.time_left = std::chrono::milliseconds(1500);
         metadata.organisation = core::organisation_name("north");
-        const auto sent = request_codec::forwarded_fields(received, metadata);
+        const auto sent = request_codec::request_fields(received, metadata);
         const http::header_fields expected{
             {"X-Godwitworks-Attempt-Id", "a1"},
             {"Accept", "x"},
@@ -198,7 +198,7 @@
             {"Keep-Alive", "timeout=5"},
             {"X-Kept", "2"}};
         const http::header_fields expected{{"X-Kept", "2"}};
-        CPPUNIT_ASSERT(expected == request_codec::returned_fields(received));
+        CPPUNIT_ASSERT(expected == request_codec::response_fields(received));
     }
 
     void test_copy_responses()
@@ -240,7 +240,7 @@
         metadata.hold = "q1";
         http::header_fields received;
         received.add("X-Godwitworks-Hold", "a caller's own");
-        const auto sent = request_codec::forwarded_fields(received, metadata);
+        const auto sent = request_codec::request_fields(received, metadata);
         CPPUNIT_ASSERT(sent.find("X-Godwitworks-Hold") == "q1");
     }
 
--- a/tests/platform_adapter/hostile_values_test.cpp
+++ b/tests/platform_adapter/hostile_values_test.cpp
@@ -68,7 +68,7 @@
             fields.add("a", "x");
         fields.add("B", "x");
         const double before = thread_cpu_seconds();
-        const auto returned = request_codec::returned_fields(fields);
+        const auto returned = request_codec::response_fields(fields);
         CPPUNIT_ASSERT(!returned.find("b"));
         CPPUNIT_ASSERT(returned.find("a"));
         CPPUNIT_ASSERT(thread_cpu_seconds() - before < 0.4);
