--- a/libraries/telemetry/include/godwit/telemetry/bounded_sink.hpp
+++ b/libraries/telemetry/include/godwit/telemetry/bounded_sink.hpp
@@ -22,11 +22,11 @@
 
 /// Writes whole lines to a file descriptor without blocking. Drops lines over
 /// the rate limit and lines that do not fit into the pipe's buffer; a notice
-/// before the next written line says how many. Thread-safe.
+/// before the next written line gives their number. Thread-safe.
 class bounded_sink
 {
 public:
-    /// `make_notice` makes the line that reports the number of dropped lines.
+    /// `make_notice` returns the line that reports the number of dropped lines.
     bounded_sink(
         int descriptor,
         bounded_sink_limits limits,
--- a/services/entry/include/godwit/entry/server_limit_exchange.hpp
+++ b/services/entry/include/godwit/entry/server_limit_exchange.hpp
@@ -20,11 +20,12 @@
 [[nodiscard]] core::result<placement::server_limit>
 to_server_limit(const wire::server_limit& received, core::time_point now);
 
-/// Counts a request to the server, and reports it if the server is limited.
+/// Counts a request to the server, and reports it to the neighbours if the
+/// server is limited.
 void record_request(entry_context& context, const placement::server_id& server);
 
 /// Applies the limit in the response to a request that was sent at `sent_at`,
-/// and reports it if it changed.
+/// and reports the limit to the neighbours if it changed.
 void update_limit(
     entry_context& context,
     const placement::backend_server& server,
--- a/services/entry/include/godwit/entry/server_list_outage.hpp
+++ b/services/entry/include/godwit/entry/server_list_outage.hpp
@@ -8,10 +8,10 @@
 
 namespace godwit::entry {
 
-/// Tells whether entries that disappeared from the list of servers may have
-/// expired because its source was unavailable or lost them, or whether only
-/// this host was cut off from it. While the source serves other hosts, it drops
-/// no entry of a live server.
+/// Determines whether entries that disappeared from the list of servers may
+/// have expired because its source was unavailable or lost them, or whether
+/// only this host was cut off from it. While the source serves other hosts, it
+/// drops no entry of a live server.
 class server_list_outage
 {
 public:
--- a/services/entry/src/server_limit_exchange.cpp
+++ b/services/entry/src/server_limit_exchange.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Bounds the requests in one message about a server.
+// Largest number of requests that one message about a server may report.
 constexpr std::uint32_t max_sends = 100'000;
 
 } // namespace
--- a/tests/entry/report_poller_test.cpp
+++ b/tests/entry/report_poller_test.cpp
@@ -51,8 +51,8 @@
     {
         const placement::server_id id("i-1");
         boost::asio::io_context io{1};
-        codec_functions words{};
-        words.write_report_request = &failing_request;
+        codec_functions codec{};
+        codec.write_report_request = &failing_request;
         entry_context context(
             io.get_executor(),
             entry_settings{
@@ -63,7 +63,7 @@
                 .operators = any_port(),
                 .neighbours = any_port(),
                 .seeds = {}},
-            words);
+            codec);
         context.directory.update(
             placement::backend_server{
                 id, core::service_name("lm"), any_port(), {}},
