--- a/services/entry/include/godwit/entry/call_dispatcher.hpp
+++ b/services/entry/include/godwit/entry/call_dispatcher.hpp
@@ -44,6 +44,8 @@
 
     [[nodiscard]] tl::expected<resolved_call, unrouted_call> resolve(
         const http::request& received, const request_metadata& metadata) const;
+    /// Waits while `is_outdated` returns that this host's route table may be
+    /// outdated, but only for a limited time.
     boost::asio::awaitable<void>
     wait_while(std::function<bool()> is_outdated) const;
     boost::asio::awaitable<void> refuse(
--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -31,7 +31,8 @@
 
 namespace godwit::entry {
 
-/// Runs lost at a server, kept until a probe shows whether it crashed.
+/// Runs lost at a server, kept until a probe shows whether the server
+/// crashed.
 struct crash_probe
 {
     std::vector<admission::crash_report> reports;
@@ -61,7 +62,7 @@
     placement::server_health health;
     placement::slow_server_detector slow_servers;
     placement::server_limits limits;
-    /// Servers whose invalid limits were logged.
+    /// Servers whose invalid request limits were already logged.
     std::set<placement::server_id> servers_with_invalid_limit;
     placement::placer placer;
     admission::request_quarantine quarantine;
@@ -69,6 +70,8 @@
     retry_budgets budgets;
     wait_queue queue;
     stream_registry streams;
+    /// Claims of other hosts to the network links of backend servers, which
+    /// migrations copy over; not about the links between neighbour hosts.
     link_claims claims;
     placement::copy_queue copy_queue;
     /// Sends a message to all neighbours; set by the process.
--- a/services/entry/include/godwit/entry/event_splitter.hpp
+++ b/services/entry/include/godwit/entry/event_splitter.hpp
@@ -16,7 +16,8 @@
 class event_splitter
 {
 public:
-    /// Fails the stream on a longer event; an engine's events are below 2 KB.
+    /// The size of an event beyond which the stream fails. An engine's events
+    /// are below 2 KB.
     static constexpr std::size_t max_event_bytes = std::size_t{256} * 1024;
 
     /// Returns the events that `bytes` complete. Fails with `exhausted` if one
--- a/services/entry/include/godwit/entry/hold.hpp
+++ b/services/entry/include/godwit/entry/hold.hpp
@@ -8,7 +8,9 @@
 
 namespace godwit::entry {
 
-/// Asks a server to reserve a slot and memory for a request.
+/// Asks a server for a hold: the server reserves a slot and memory for a
+/// request. A `reservation`, in contrast, is only an entry in this host's load
+/// ledger.
 struct hold_request
 {
     std::uint64_t tokens = 0;
@@ -30,7 +32,7 @@
 struct hold_response
 {
     hold_status status = hold_status::failed;
-    std::optional<std::string> handle; ///< Of a granted hold.
+    std::optional<std::string> handle; ///< Identifies a granted hold.
 
     friend bool
     operator==(const hold_response&, const hold_response&) = default;
--- a/services/entry/include/godwit/entry/migration.hpp
+++ b/services/entry/include/godwit/entry/migration.hpp
@@ -16,7 +16,8 @@
     stop_and_copy, ///< The generation stops first and resumes from the copy.
 };
 
-/// Asks a server to copy the KV cache of a running generation.
+/// Asks the source server of a migration, which runs the generation, to copy
+/// the generation's KV cache to the destination.
 struct copy_request
 {
     std::string attempt_id; ///< Of the request that the generation serves.
@@ -30,19 +31,20 @@
 enum class copy_status
 {
     done,
-    not_running, ///< The source runs no such generation.
-    busy,        ///< Another copy of it is in progress.
+    not_running, ///< The source server does not run the generation.
+    busy,        ///< Another copy of the generation is in progress.
     refused,     ///< The destination has no capacity or cannot be reached.
-    failed,      ///< Any other response of the source.
-    unreachable, ///< The source did not respond.
+    failed,      ///< Any other response of the source server.
+    unreachable, ///< The source server did not respond.
 };
 
-/// The source's response to a copy request.
+/// The source server's response to a copy request.
 struct copy_response
 {
     copy_status status = copy_status::failed;
-    /// Identifies the copy at the source. Also set when a stop-and-copy was
-    /// refused: the source then keeps the stopped generation under this handle.
+    /// Identifies the copy at the source server. Also set when a stop-and-copy
+    /// was refused: the source server then keeps the stopped generation under
+    /// this handle.
     std::optional<std::string> handle;
 
     friend bool
@@ -52,8 +54,8 @@
 /// Where a stopped generation resumes.
 struct resume_point
 {
-    http::endpoint source;        ///< The server that ran it before.
-    std::string handle;           ///< Of the copy at the source.
+    http::endpoint source;        ///< The server that ran the generation.
+    std::string handle;           ///< Identifies the copy at that server.
     std::uint64_t last_event = 0; ///< The last event that the caller has.
 
     friend bool operator==(const resume_point&, const resume_point&) = default;
--- a/services/entry/include/godwit/entry/migrator.hpp
+++ b/services/entry/include/godwit/entry/migrator.hpp
@@ -18,7 +18,7 @@
 
 namespace godwit::entry {
 
-/// A generation that stopped at its source and can resume from a copy.
+/// A generation that stopped at its source server and can resume from a copy.
 struct migrated_run
 {
     placement::backend_server destination;
@@ -28,8 +28,8 @@
 /// Why a running generation migrates.
 enum class migration_cause
 {
-    server_draining, ///< Lost otherwise: any server with capacity will do.
-    rebalance,       ///< Better off in its host's zone, if there is capacity.
+    server_draining, ///< Else the generation is lost: any server will do.
+    rebalance,       ///< Moves to this host's zone if a server has capacity.
 };
 
 /// Migrates one running generation to another server: copies its KV cache while
@@ -48,8 +48,8 @@
     /// Starts the migration.
     void start();
 
-    /// The source is draining: the generation must migrate, whatever the
-    /// migration was started for.
+    /// Called when the source server starts to drain. The generation must then
+    /// migrate, whatever the migration was started for.
     void on_server_draining();
 
     /// Ends the migration and frees the copies, because the caller disconnected
@@ -61,22 +61,23 @@
     boost::asio::awaitable<std::optional<migrated_run>>
     outcome(core::time_point end);
 
-    /// Whether the migration ended and the generation still runs at the source.
+    /// Whether the migration ended and the generation still runs at its
+    /// source server.
     [[nodiscard]] bool is_still_at_source() const noexcept
     {
         return is_finished_ && !migrated_;
     }
 
-    /// The stream ended without its last event. Unless the generation was
-    /// stopped for its last copy, the source died during the migration; the
-    /// generation then resumes from the last copy at the destination, if there
-    /// is one.
+    /// Called when the stream ends without its last event. Unless the
+    /// generation was stopped for its last copy, the source server died during
+    /// the migration; the generation then resumes from the last copy at the
+    /// destination, if there is one.
     void on_stream_broken() { is_broken_ = true; }
 
 private:
-    /// The longest that a stop-and-copy may take, estimated by the copy before
-    /// it: callers notice a longer gap. It includes waiting for other copies on
-    /// the link.
+    /// The longest acceptable stop-and-copy, since callers notice a longer gap
+    /// between events. The duration of the latest pre-copy, including its wait
+    /// for other copies on the server's link, is the estimate for it.
     static constexpr core::duration max_final_copy_time =
         std::chrono::milliseconds(70);
     static constexpr core::duration copy_timeout = std::chrono::seconds(3);
@@ -86,9 +87,9 @@
     enum class pre_copy_result
     {
         converged,   ///< A stop-and-copy will be short.
-        no_capacity, ///< This destination cannot take it.
-        not_started, ///< The source has not started the generation yet.
-        broken,      ///< The stream ended, or its caller disconnected.
+        no_capacity, ///< The destination cannot take the generation.
+        not_started, ///< The server has not started the generation yet.
+        broken,      ///< The stream ended, its caller left or time is up.
     };
 
     boost::asio::awaitable<void> wait_for_copy_turn();
--- a/services/entry/include/godwit/entry/refusal.hpp
+++ b/services/entry/include/godwit/entry/refusal.hpp
@@ -29,7 +29,8 @@
 /// The name of `reason` as it appears in logs and responses.
 [[nodiscard]] std::string_view to_string(refusal_reason reason) noexcept;
 
-/// Whether the request may have run, as far as the caller can rely on it.
+/// Returns `not_run` if the request certainly did not run, so that the caller
+/// can rely on that when it sends the request again, else `unknown`.
 [[nodiscard]] core::outcome outcome_of(refusal_reason reason) noexcept;
 
 /// Returns this host's own error as a problem document (RFC 9457), with a
--- a/services/entry/include/godwit/entry/reservation.hpp
+++ b/services/entry/include/godwit/entry/reservation.hpp
@@ -8,8 +8,9 @@
 
 namespace godwit::entry {
 
-/// Load that this host puts on a backend server. Counted in the load ledger for
-/// as long as the object lives.
+/// An entry in this host's load ledger: load that this host puts on a backend
+/// server, counted for as long as the object lives. The server does not know of
+/// it; capacity that the server itself reserves is a hold (`hold_request`).
 class reservation
 {
 public:
@@ -22,10 +23,10 @@
     reservation(const reservation&) = delete;
     reservation& operator=(const reservation&) = delete;
 
-    /// The server has processed the prompt.
+    /// Called when the server has processed the prompt.
     void on_prefill_done();
 
-    /// The KV cache has arrived over the server's link.
+    /// Called when the KV cache has arrived over the server's network link.
     void on_kv_cache_received();
 
     /// Updates the memory that the run takes and the gaps between its events.
--- a/services/entry/include/godwit/entry/response_metadata.hpp
+++ b/services/entry/include/godwit/entry/response_metadata.hpp
@@ -8,14 +8,14 @@
 /// What the header fields of a backend server's response say about it.
 struct response_metadata
 {
-    std::string attempt_id; ///< Of the request it responds to; empty if absent.
+    std::string attempt_id; ///< Of the answered request; empty if absent.
     bool is_signed = false; ///< It carries the server's signature.
     /// The server did not execute the request and never will.
     bool is_not_run = false;
     bool is_closing = false; ///< The server closes the connection after it.
     /// Requests per second that the server accepts from all hosts together.
     std::optional<double> requests_per_second;
-    bool has_invalid_limit = false; ///< Malformed or repeated.
+    bool has_invalid_limit = false; ///< The limit is malformed or repeated.
 
     friend bool
     operator==(const response_metadata&, const response_metadata&) = default;
--- a/services/entry/include/godwit/entry/retry_budgets.hpp
+++ b/services/entry/include/godwit/entry/retry_budgets.hpp
@@ -10,9 +10,11 @@
 
 namespace godwit::entry {
 
-/// This host's part of each service's retry budget. The allowance beyond the
-/// share of requests is divided by the number of hosts, so that the parts never
-/// exceed the whole, not even while hosts are cut off from each other.
+/// This host's part of each service's retry budget. A budget permits retries
+/// for a share of the first attempts and, beyond these, a fixed allowance of
+/// retries in each window. The allowance holds for the whole fleet: it is
+/// divided by the number of hosts, so that the hosts' parts never exceed it,
+/// not even while hosts are cut off from each other.
 class retry_budgets
 {
 public:
@@ -22,7 +24,7 @@
     /// host that cannot be reached may still serve.
     void set_host_count(std::size_t hosts);
 
-    /// Takes over changed shares and allowances.
+    /// Applies changed settings and resets all balances.
     void update_settings(const entry_settings& settings);
 
     /// Counts a first attempt at the service.
--- a/services/entry/include/godwit/entry/running_stream.hpp
+++ b/services/entry/include/godwit/entry/running_stream.hpp
@@ -11,10 +11,10 @@
 public:
     virtual ~running_stream() = default;
 
-    /// The server that runs the generation is draining.
+    /// Called when the server that runs the generation starts to drain.
     virtual void on_server_draining() = 0;
 
-    /// The server restarted: the generation is lost there.
+    /// Called when the server restarted, so that the generation is lost there.
     virtual void on_server_restarted() = 0;
 
     /// How long the server has sent nothing, beyond the time that it may take
--- a/services/entry/include/godwit/entry/stream_call.hpp
+++ b/services/entry/include/godwit/entry/stream_call.hpp
@@ -27,7 +27,7 @@
 
 /// Serves a request whose response is an event stream. The generation runs at
 /// most once; when its server leaves, the same generation resumes at another
-/// one.
+/// server.
 class stream_call : public running_stream,
                     public std::enable_shared_from_this<stream_call>
 {
--- a/services/entry/include/godwit/entry/stream_registry.hpp
+++ b/services/entry/include/godwit/entry/stream_registry.hpp
@@ -26,8 +26,8 @@
 
     /// Returns the servers from which no stream of this host has received
     /// anything for `idle_limit`: they hang or cannot be reached, even if they
-    /// are still listed. A single idle stream among others was only preempted
-    /// for a while.
+    /// are still listed. A server with one idle stream among active ones is not
+    /// returned, since that stream was only preempted for a while.
     [[nodiscard]] std::vector<placement::server_id>
     unresponsive_servers(core::duration idle_limit, core::time_point now) const;
 
--- a/services/entry/include/godwit/entry/upstream.hpp
+++ b/services/entry/include/godwit/entry/upstream.hpp
@@ -23,9 +23,9 @@
 /// Why a backend server gave no response.
 enum class upstream_fault
 {
-    unreachable, ///< No byte was sent: it has not run.
-    lost,        ///< The connection broke; it may have run.
-    timed_out,   ///< No response in time; it may have run.
+    unreachable, ///< No byte was sent: the request has not run.
+    lost,        ///< The connection broke; the request may have run.
+    timed_out,   ///< No response in time; the request may have run.
 };
 
 /// A failed exchange with a backend server.
@@ -48,8 +48,9 @@
     static constexpr core::duration min_connect_timeout =
         std::chrono::milliseconds(80);
 
-    /// `objective` is the request's latency objective: a connection attempt
-    /// that uses it up leaves no time for another server.
+    /// `objective` is the request's latency objective. It bounds the connect
+    /// timeout, since a connection attempt that uses it up leaves no time for
+    /// another server.
     upstream(
         entry_context& context,
         placement::backend_server server,
--- a/services/entry/include/godwit/entry/wire_codec.hpp
+++ b/services/entry/include/godwit/entry/wire_codec.hpp
@@ -52,11 +52,11 @@
     {
         Codec::read_copy_response(response)
         } -> std::same_as<copy_response>;
-    // Frees a KV cache copy that no generation resumes from.
+    // Asks a server to free a KV cache copy that no generation resumes from.
     {
         Codec::write_copy_release(handle)
         } -> std::same_as<http::request>;
-    // Asks a server to hold capacity for a request that is sent next.
+    // Asks a server to hold capacity for the request that this host sends next.
     {
         Codec::write_hold_request(hold)
         } -> std::same_as<http::request>;
@@ -66,7 +66,8 @@
     {
         Codec::write_hold_release(handle)
         } -> std::same_as<http::request>;
-    // Asks a backend server for its load report, and reads it.
+    // Asks a backend server for its report: whether it is draining, and the
+    // start of its process.
     {
         Codec::write_report_request()
         } -> std::same_as<http::request>;
--- a/services/entry/src/buffered_call.cpp
+++ b/services/entry/src/buffered_call.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-// Part of the latency objective that a request may wait for any server to be
-// listed before it is refused.
+// The part of the latency objective that a request may wait for any server to
+// be listed before it is refused.
 constexpr double max_wait_share = 0.5;
 // An idempotent request without a response after twice its objective is sent to
 // another server, while there is time left.
@@ -23,7 +23,7 @@
 constexpr core::duration min_attempt_timeout = std::chrono::milliseconds(250);
 // Sent as Retry-After when no server is available.
 constexpr core::duration retry_after = std::chrono::milliseconds(300);
-// Servers that may refuse one request before this host gives up.
+// The number of servers that may refuse a request before this host gives up.
 constexpr unsigned max_refusals = 3;
 constexpr unsigned min_server_error_status = 500;
 
--- a/services/entry/src/call_dispatcher.cpp
+++ b/services/entry/src/call_dispatcher.cpp
@@ -26,7 +26,7 @@
 constexpr core::duration max_table_wait = std::chrono::seconds(1);
 constexpr core::duration table_poll_interval = std::chrono::milliseconds(10);
 
-// Callers do not retry after these.
+// Whether callers do not retry after a refusal with this reason.
 bool is_final(refusal_reason reason)
 {
     return reason == refusal_reason::no_such_route ||
--- a/services/entry/src/entry_context.cpp
+++ b/services/entry/src/entry_context.cpp
@@ -15,7 +15,8 @@
     limits.idle_per_server = 16;
     limits.idle_in_all = 512;
     // Backend servers close idle connections after some seconds, and a request
-    // that is sent while the server closes may have run.
+    // that is sent while the server closes may have run. This host therefore
+    // closes idle connections first.
     limits.idle_time = std::chrono::seconds(3);
     return limits;
 }
--- a/services/entry/src/lost_runs.cpp
+++ b/services/entry/src/lost_runs.cpp
@@ -38,9 +38,9 @@
         context.on_quarantined(*context.quarantine.find(report.request));
 }
 
-// Requests the load report of an engine, which also shows whether it restarted.
-// Other servers have no inexpensive endpoint, so only a connection is opened to
-// them.
+// Requests the report of an engine, which also shows whether the engine
+// restarted. Other servers have no inexpensive endpoint, so only a connection
+// is opened to them.
 asio::awaitable<bool> is_alive(
     entry_context& context,
     const placement::backend_server& server,
--- a/services/entry/src/migrator.cpp
+++ b/services/entry/src/migrator.cpp
@@ -23,21 +23,24 @@
 // same server.
 constexpr core::duration copy_turn_poll_interval =
     std::chrono::milliseconds(15);
-// Before a retry when the source or the destinations may soon answer
-// differently.
+// The wait before a retry when the source server or the destinations may soon
+// respond differently.
 constexpr core::duration retry_interval = std::chrono::milliseconds(40);
-// Each further copy transfers what was generated during the one before, until a
-// copy is short enough to stop the generation for it.
+// The most pre-copies of one migration. Each after the first transfers what was
+// generated during the one before, until a copy is short enough to stop the
+// generation for it.
 constexpr int max_pre_copies = 4;
-// Covers two short copies and a round trip to the source, with some margin.
+// How long a claim on links lasts: two short copies and a round trip to the
+// source server, with some margin.
 constexpr core::duration link_claim_duration = std::chrono::milliseconds(250);
-// Consecutive claims by other hosts must not use up the time that a draining
-// server gives.
+// The longest wait for links that other hosts have claimed. Consecutive claims
+// must not use up the time that a draining server gives.
 constexpr core::duration max_link_wait = std::chrono::milliseconds(400);
-// Failed or missing responses to copy requests before another destination is
-// tried.
+// The number of failed or missing responses to copy requests after which
+// another destination is tried.
 constexpr int max_failures = 2;
-// A server that has been draining for this long is gone, or about to be.
+// A migration gives up after this time: a server that has been draining for so
+// long is gone, or about to be.
 constexpr core::duration max_migration_time = std::chrono::seconds(6);
 
 std::string_view name_of(copy_status status)
@@ -236,8 +239,9 @@
 {
     int failures = 0;
     for (int copies = 0; copies < max_pre_copies && !is_stopped_;) {
-        // The first copy is long; after it the links are needed for the short
-        // ones.
+        // The first copy is long, so it must not start on links that other
+        // hosts have claimed. The later, short copies claim the links for
+        // this migration.
         if (copies == 0)
             co_await wait_for_links();
         else
@@ -287,12 +291,13 @@
         co_return;
     }
     if (response.status == copy_status::refused && response.handle) {
-        // The generation stopped, and its KV cache stayed at the source.
+        // The generation stopped, and its KV cache stayed at the source
+        // server.
         migrated_ = migrated_run{source_->server(), *response.handle};
         co_return;
     }
-    // The generation or its source is gone, so that only the pre-copies are
-    // left. The destination prefills again what was generated after them.
+    // The generation or its source server is gone, so that only the pre-copies
+    // are left. The destination prefills again what was generated after them.
     const bool is_gone = response.status == copy_status::not_running ||
                          response.status == copy_status::unreachable;
     if (is_broken_ && is_gone)
--- a/services/entry/src/retry_budgets.cpp
+++ b/services/entry/src/retry_budgets.cpp
@@ -8,11 +8,15 @@
 
 namespace {
 
-// What is saved up and what accrues may both be spent within one window.
+// A host may spend a full balance and what accrues meanwhile within one window.
+// Each of the two therefore gets half of the host's part of the allowance.
 constexpr double allowance_divisor = 2.0;
-// Requests are counted when they arrive, retries a little later.
+// Requests are counted when they arrive, retries a little later, so that a
+// window may hold retries of requests counted in the window before. The factor
+// leaves a margin for these.
 constexpr double share_factor = 0.8;
-// A host that knows no other host yet assumes a small fleet.
+// The fleet size that a host assumes while it knows no other host: a small
+// fleet.
 constexpr std::size_t min_hosts = 6;
 
 } // namespace
@@ -23,8 +27,8 @@
       hosts_(min_hosts)
 {}
 
-// Balances start anew: what was saved up under the old settings is not spent on
-// top.
+// Resets the balances, so that retries saved up under the old settings are not
+// spent on top of those that the new settings permit.
 void retry_budgets::update_settings(const entry_settings& settings)
 {
     share_ = settings.retry_share * share_factor;
--- a/services/entry/src/server_hold.cpp
+++ b/services/entry/src/server_hold.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// Responding costs a server no work. One that takes longer counts as
-// unreachable, while another can still be in time.
+// Responding costs a server no work. A server that takes longer counts as
+// unreachable, so that another server can still be tried in time.
 constexpr core::duration response_timeout = std::chrono::milliseconds(250);
-// The request follows at once. Capacity beyond the request's need stays
-// reserved until the hold expires, and so does all of it if the request's host
-// dies.
+// An unused hold blocks capacity, so its lifetime is short: what the request
+// does not need stays reserved until the hold expires, and so does all of it if
+// the request's host dies. A short lifetime suffices, since the request follows
+// at once.
 constexpr core::duration hold_lifetime = std::chrono::milliseconds(400);
 
 } // namespace
--- a/services/entry/src/stream_call.cpp
+++ b/services/entry/src/stream_call.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Servers that may refuse one request before this host gives up.
+// The number of servers that may refuse a request before this host gives up.
 constexpr unsigned max_refusals = 3;
 constexpr unsigned min_failure_status = 300;
 // A caller that takes longer to read delays what the server wrote, so that the
--- a/services/entry/src/upstream.cpp
+++ b/services/entry/src/upstream.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 // A server that responds to one request twice sends the second response where
-// the next one is expected. More than a few in a row mean that the server is
-// broken.
+// the response to the next request is expected. Such a stray response is
+// skipped; more than a few in a row mean that the server is broken.
 constexpr int max_stray_responses = 3;
 // A connection attempt may use up half of the latency objective.
 constexpr int connect_timeout_divisor = 2;
