--- a/services/entry/include/godwit/entry/entry_context.hpp
+++ b/services/entry/include/godwit/entry/entry_context.hpp
@@ -94,10 +94,12 @@
     /// Called when work was added at a server; set by the process.
     std::function<void()> on_work_added;
     /// Called when the host runs again after it was suspended; set by the
-    /// platform, which then reads the route table and the server list again.
+    /// platform, which then reads the route table, the server list and the
+    /// host records again.
     std::function<void()> on_resumed;
     /// Whether the host resumed after a suspension and has not read the route
-    /// table and the server list again since; set by the process.
+    /// table and the server list again since; false after
+    /// `source_refresh::max_duration`; set by the process.
     std::function<bool()> is_refreshing;
     /// Whether a neighbour may have a newer version of the route table; set by
     /// the process.
