--- a/services/entry/include/godwit/entry/cell_load_reporter.hpp
+++ b/services/entry/include/godwit/entry/cell_load_reporter.hpp
@@ -16,8 +16,9 @@
 class cell_load_reporter
 {
 public:
-    /// Interval between two reports. A choice between engines is as good as the
-    /// load data behind it; the prefill of a prompt takes some 400 ms.
+    /// Interval between two reports. It is short compared with the prefill of a
+    /// prompt, some 400 ms, because outdated loads lead to a poor choice of
+    /// engine.
     static constexpr core::duration report_interval =
         std::chrono::milliseconds(100);
     /// Interval between two full reports. A new link begins with a full report
@@ -31,8 +32,9 @@
     /// missing reports mean that the cell cannot be reached.
     static constexpr core::duration max_report_interval =
         std::chrono::milliseconds(500);
-    /// Changes of a server's KV cache below this number of tokens, a tenth of a
-    /// usual run's, are not reported until they add up.
+    /// Smallest change of a server's KV cache that is reported, in tokens: a
+    /// tenth of the KV cache of a usual generation. Smaller changes are
+    /// reported once they add up to it.
     static constexpr std::uint64_t min_reported_growth = 400;
 
     /// Returns the report that is due now, or nothing if there is nothing to
--- a/services/entry/include/godwit/entry/entry_process.hpp
+++ b/services/entry/include/godwit/entry/entry_process.hpp
@@ -67,52 +67,52 @@
 
     /// Parses a version of the route table and activates it, unless this or a
     /// newer version is active: a process never goes back to an older one.
-    /// `source` is logged as its origin. A table that cannot be parsed is
-    /// logged, and the active one stays.
+    /// Parameters `source` of this class are the origin of a change, for the
+    /// log. A table that cannot be parsed is logged, and the active one stays.
     void load_table(const std::string& text, std::string_view source);
 
     void add_or_update_server(
         const placement::backend_server& server, std::string_view source);
 
-    /// Records that the source still lists the server, possibly without
-    /// changes.
+    /// Records that the store's server list still has the server, possibly
+    /// without changes.
     void confirm_server(const placement::server_id& server);
 
     void
     remove_server(const placement::server_id& server, std::string_view source);
 
-    /// Sets whether this host reads the list of servers at its source. While it
-    /// does, a neighbour whose link opens receives the list, and neighbours'
-    /// reports that are no newer than what was read are passed over.
+    /// Sets whether this host can read the server list from the store. While it
+    /// can, a neighbour whose link opens receives the list, and neighbours'
+    /// reports that are no newer than what was read are ignored.
     void set_server_list_current(bool is_current);
 
-    /// Records that the list of servers was read at its source just now.
+    /// Records that the server list was read from the store just now.
     void record_list_read();
 
-    /// Records that the newest route table was read at its source.
+    /// Records that the newest route table was read from the store.
     void record_table_source_read() { refresh_.record_table_read(); }
 
-    /// Records that the full list of servers was read at its source.
+    /// Records that the full server list was read from the store.
     void record_full_list_read() { refresh_.record_server_list_read(); }
 
-    /// Records that the source restarted from an older copy of the list:
-    /// servers that are missing from it stay in use for as long as they may
-    /// register again.
+    /// Records that the store restarted from an older copy of the server list:
+    /// servers that are missing from the copy stay in use for as long as they
+    /// may register again.
     void record_source_restore();
 
-    /// Records that the first full list of servers is known, from the source
-    /// or from a neighbour. `source` is logged as its origin.
+    /// Records that the first full server list is known, from the store or from
+    /// a neighbour. `source` is logged as the origin of the list.
     void mark_servers_known(std::string_view source);
 
-    /// Returns whether this host should poll the list of servers at the short
-    /// interval and broadcast changes to the others. One such host is enough,
-    /// and each read has its cost.
+    /// Returns whether this host should poll the server list at the short
+    /// interval and broadcast changes to the other hosts. One such host is
+    /// enough, and each read has its cost.
     [[nodiscard]] bool is_primary_list_reader() const;
 
-    /// Returns whether this host may rely on another one of its cell to read
-    /// the list, whose messages reach it at once. While its own reads fail, any
-    /// reader will do; otherwise it has to be one that precedes this host by
-    /// name.
+    /// Returns whether this host may rely on another host of its cell to read
+    /// the server list, whose messages reach this host at once. While this
+    /// host's own reads fail, any reader will do; otherwise the reader has to
+    /// precede this host by name.
     [[nodiscard]] bool may_rely_on_other_readers() const;
 
     /// Returns whether this host started a moment ago in a fleet with other
@@ -122,7 +122,7 @@
     /// Returns the number of hosts in this host's cell that precede it by name.
     [[nodiscard]] std::size_t rank_in_cell() const;
 
-    /// Returns whether the fleet is too large for each host to call the source
+    /// Returns whether the fleet is too large for each host to call the store
     /// on its own.
     [[nodiscard]] bool is_large_fleet() const noexcept
     {
@@ -199,6 +199,7 @@
         const std::shared_ptr<wire::link>& from, wire::message message);
     void
     handle_table_version(const core::host_name& host, std::uint64_t version);
+    /// Handles a neighbour's request for the route table, a `wire::pull`.
     void handle_table_request(
         const std::shared_ptr<wire::link>& from, const wire::pull& request);
     void request_table();
@@ -232,6 +233,7 @@
     void apply_caller_limits(const routing::caller_limits& limits);
     void handle_servers(
         const core::host_name& host, const wire::listed_servers& message);
+    /// Handles a neighbour's notice about a server, a `wire::server_sign`.
     void handle_server_notice(
         const core::host_name& host, const wire::server_sign& message);
     void handle_link_claim(
--- a/services/entry/include/godwit/entry/host_cell.hpp
+++ b/services/entry/include/godwit/entry/host_cell.hpp
@@ -8,8 +8,9 @@
 
 namespace godwit::entry {
 
-/// A group of hosts that are linked pairwise and know each other's load
-/// exactly; other cells receive only sums of it.
+/// A cell: a group of hosts that are linked pairwise and know each other's load
+/// exactly. Hosts of other cells receive only the sums of this load. The
+/// placement library calls a cell `host_group`.
 struct host_cell
 {
     placement::host_group name;
--- a/services/entry/include/godwit/entry/load_conversion.hpp
+++ b/services/entry/include/godwit/entry/load_conversion.hpp
@@ -16,9 +16,9 @@
 struct received_load
 {
     std::vector<placement::server_work> work;
-    /// Number of gaps between events that the running streams cannot have. They
-    /// are dropped: a false one would make a healthy server look slow, or hide
-    /// a slow one.
+    /// Number of reported gaps between events with implausible values, which
+    /// the running streams cannot have. These gaps are dropped, because a false
+    /// gap would make a healthy server look slow or hide a slow server.
     std::size_t refused_gaps = 0;
 
     friend bool
--- a/services/entry/include/godwit/entry/server_list_outage.hpp
+++ b/services/entry/include/godwit/entry/server_list_outage.hpp
@@ -8,31 +8,32 @@
 
 namespace godwit::entry {
 
-/// Tells whether entries that disappeared from the list of servers may have
-/// expired because its source was unavailable or lost them, or whether only
-/// this host was cut off from it. While the source serves other hosts, it drops
-/// no entry of a live server.
+/// Tracks outages of the source of the server list, to interpret entries that
+/// disappear from the list. They may have expired because the source was
+/// unavailable, or the source may have lost them. If only this host was cut off
+/// from the source, neither holds: while the source serves other hosts, it
+/// drops no entry of a live server.
 class server_list_outage
 {
 public:
     /// Time after this host lost the source during which other hosts may still
-    /// report that they read the list: as long as their own pending read may
-    /// take to fail.
+    /// report that they read the list although they lost it too: the time that
+    /// their pending reads may take to fail.
     static constexpr core::duration loss_detection_time =
         std::chrono::milliseconds(2600);
     /// Other hosts may notice the source's recovery earlier than this host by
     /// up to this time.
     static constexpr core::duration recovery_detection_skew =
         std::chrono::milliseconds(800);
-    /// Expired entries show as dropped for this time after the source's
-    /// recovery.
+    /// Time after the source's recovery during which entries that expired in
+    /// the outage may still be reported as dropped.
     static constexpr core::duration recovery_period = std::chrono::seconds(4);
 
     /// Sets whether this host can read the list.
     void set_current(bool is_current, core::time_point now);
 
-    /// Records that the source restarted from an older copy: servers whose
-    /// entries it lost register again.
+    /// Records that the source restarted from an older copy of the list;
+    /// servers whose entries are missing from it register again.
     void record_restore(core::time_point now);
 
     /// Records that a neighbour reported that it reads the list.
--- a/services/entry/include/godwit/entry/table_history.hpp
+++ b/services/entry/include/godwit/entry/table_history.hpp
@@ -11,17 +11,19 @@
 
 namespace godwit::entry {
 
-/// The text of the active route table as its operator wrote it, and the changes
-/// that led to it: what a neighbour needs that has this or an earlier version.
+/// The text of the active route table as its operator wrote it, and the latest
+/// steps that led to it. A step is the set of changes from one version to the
+/// next. A neighbour with an earlier version is sent the steps that it lacks.
 class table_history
 {
 public:
-    /// A host that lacks more versions gets the full table.
+    /// Maximum number of steps that are kept. A host that lacks more versions
+    /// gets the full table.
     static constexpr std::size_t max_steps = 16;
 
-    /// Sets a version that was received in full and computes the change from
-    /// the one before it. If there is no memory for that, neighbours get the
-    /// full table.
+    /// Sets a version that was received in full and computes the step from the
+    /// previous version to it. If there is no memory for the step, neighbours
+    /// get the full table.
     void set_full(std::uint64_t version, std::string text);
 
     /// Sets a version that `apply` made from `changes`, which are forwarded to
@@ -29,8 +31,9 @@
     void set_from_changes(std::string text, const wire::table_changes& changes);
 
     /// Returns the text that results from the changes. Fails with `expired` if
-    /// they start from another text than the active one, with `protocol` if
-    /// they cannot be applied or result in another text than they state.
+    /// they start from a text that is not the active one, and with `protocol`
+    /// if they cannot be applied or the result does not have the digest that
+    /// they state.
     [[nodiscard]] core::result<std::string>
     apply(const wire::table_changes& changes) const;
 
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -28,15 +28,19 @@
 // How long a host that joins a fleet waits for the first message of another
 // host.
 constexpr core::duration first_message_timeout = std::chrono::seconds(1);
-// A server gives about two seconds of notice before it ends, of which the
-// copies of its KV caches need one.
+// Interval between polls while the server list cannot be read. A server gives
+// about two seconds of notice before it ends, of which the copies of its KV
+// caches need one, so that the poll has to find the notice within the other.
 constexpr core::duration outage_poll_interval = std::chrono::milliseconds(250);
-// Events of a stream arrive some 30 ms apart; a batch that prefills several
-// prompts at once is slower by a factor of five.
+// Time without events after which a server counts as unresponsive. Events of a
+// stream arrive some 30 ms apart; a batch that prefills several prompts at once
+// is slower by a factor of five.
 constexpr core::duration unresponsive_threshold =
     std::chrono::milliseconds(700);
-// A server gives about two seconds of notice, of which the copies need one;
-// each poll has its cost.
+// Interval between polls while the server list can be read. It is longer than
+// the one during an outage, since each poll has its cost, but within the second
+// that is left of a server's notice of about two seconds, of which the copies
+// need one.
 constexpr core::duration regular_poll_interval = std::chrono::milliseconds(600);
 // The settings file may change without a signal.
 constexpr core::duration reload_interval = std::chrono::seconds(5);
@@ -243,9 +247,9 @@
          {"source", source}});
 }
 
-// Connections, failures and runs belong to the server's previous process.
-// Reservations end with the streams that hold them: each stream still waits for
-// its own connection to report how it ended.
+// Connections, failures and generations belong to the server's previous
+// process. Reservations end with the streams that hold them: each stream still
+// waits for its own connection to report how it ended.
 void entry_process::on_server_restarted(
     const placement::server_id& server,
     const http::endpoint& address,
@@ -363,7 +367,8 @@
     std::erase_if(malformed_limits_from_, is_unknown);
 }
 
-// New requests at a server that hangs would be lost with those that run there.
+// Avoids servers that hang: new requests there would be lost together with the
+// requests that run there already.
 void entry_process::avoid_unresponsive_servers()
 {
     const core::time_point now = core::monotonic_now();
@@ -377,10 +382,12 @@
     }
 }
 
-// While no host in the cell can read the list, each host often polls the
-// servers of its own streams. While this host can, the primary reader polls
-// every engine from time to time for all hosts: the source may be stuck without
-// a sign, since it sends data only when an entry changes.
+// While no host in the cell can read the server list, each host polls the
+// servers of its own streams, at the shorter interval. While this host can read
+// the list, only the primary reader polls, every engine and for all hosts, at
+// the regular interval: the list's source sends data only when an entry
+// changes, so that a source that is stuck cannot be told from one without
+// changes.
 void entry_process::poll_reports()
 {
     const core::time_point now = core::monotonic_now();
@@ -395,8 +402,11 @@
         reports_.poll_all_engines();
 }
 
-// The clock and timers include the stall, so nothing is expired here. The
-// sources' updates from the time of the stall are still to be read.
+// Detects that the process did not run for a while. Nothing has to be expired
+// here: the clock and the timers include the time of the stall, so that
+// whatever ran out during it expires as usual. The updates of the route table
+// and of the server list from that time are still to be read, which starts a
+// refresh.
 void entry_process::detect_stall()
 {
     const core::time_point now = core::monotonic_now();
@@ -425,8 +435,10 @@
     return refresh_.is_pending(loader_.is_busy(), core::monotonic_now());
 }
 
-// A source that was restored may have an older version than the neighbours, and
-// a host that starts reads the source first.
+// Returns whether a neighbour may have a newer route table than this host. A
+// host that starts reads the table from its source first; a source that was
+// restored may have an older version than the neighbours, so that the host
+// waits for their first messages.
 bool entry_process::may_have_stale_routes() const
 {
     const bool may_receive_one =
--- a/services/entry/src/entry_process_crashes.cpp
+++ b/services/entry/src/entry_process_crashes.cpp
@@ -20,8 +20,8 @@
 
 constexpr std::string_view component = "neighbours";
 
-// Returns whether a completed run of the request is known and no crash after
-// it.
+// Returns whether the request is known to have completed once without a crash
+// after that.
 bool is_cleared(
     const admission::request_quarantine& quarantine,
     const admission::request_fingerprint& request)
@@ -78,7 +78,8 @@
 {
     const core::time_point now = core::monotonic_now();
     wire::crash_reports changes;
-    // Requests that completed, which the neighbour does not know yet.
+    // The requests that completed although the neighbour reports crashes of
+    // them, because it does not know of their completion yet.
     wire::crash_reports corrections;
     for (const wire::crash_report& received : message.reports) {
         const auto report = to_crash_report(received, now);
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -24,8 +24,8 @@
 constexpr std::string_view component = "neighbours";
 // Neighbours drop a host's load report after a few seconds without a new one.
 constexpr core::duration load_refresh_interval = std::chrono::milliseconds(500);
-// Bounds how long a neighbour that fails while it claims a link holds up
-// others.
+// Maximum duration of a claim to a server's network link. It bounds how long a
+// host that fails during its claim holds up the migrations of other hosts.
 constexpr core::duration max_link_claim = std::chrono::milliseconds(500);
 // How long a host that joins a fleet may take until it has links to other hosts
 // and their reports of who reads the list.
@@ -132,7 +132,8 @@
 {
     const core::time_point now = core::monotonic_now();
     wire::host_work message = load_message();
-    // Runs grow with each event; growth alone is broadcast at the next refresh.
+    // Generations grow with each event, so that growth alone is not broadcast
+    // at once but at the next refresh.
     if (differs_only_in_growth(message, last_sent_load_) &&
         now - load_sent_at_ < load_refresh_interval)
         return;
@@ -219,8 +220,9 @@
         host, std::move(servers), core::monotonic_now() + hold);
 }
 
-// A neighbour polled the server itself. Its notice may arrive late: then it is
-// about a process that has ended, and another one may run at the address.
+// Handles the notice of a neighbour that polled the server itself. A notice
+// that arrives late is about a server process that has ended; another process
+// may run at the address by then.
 void entry_process::handle_server_notice(
     const core::host_name& host, const wire::server_sign& message)
 {
@@ -343,8 +345,8 @@
     update_list_readers(host, message);
     if (message.reads_list)
         outage_.record_neighbour_read(core::monotonic_now());
-    // The first message on a link to another cell: that cell's sums include the
-    // host's load.
+    // A host of another cell sends its load only as the first message on a
+    // link. It is ignored here, because the sums of that cell include it.
     if (!neighbours_->is_cell_peer(host))
         return;
     context_.ledger.update_from_neighbour(host, work, core::monotonic_now());
--- a/services/entry/src/neighbour_selection.cpp
+++ b/services/entry/src/neighbour_selection.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-// Fleets with more cells have enough links on which messages are forwarded, and
-// links cost memory and CPU time.
+// Maximum number of cells with backup links. Fleets with more cells have enough
+// links on which messages are forwarded, and links cost memory and CPU time, so
+// that they do without backups.
 constexpr std::size_t max_cells_with_backups = 8;
 
 struct cell_position
@@ -34,9 +35,10 @@
     return std::nullopt;
 }
 
-// Of two cells one opens the links between counterparts. Each cell opens them
-// to every second one of the cells after it and before it, so that no host
-// opens most of them.
+// Returns whether the hosts of cell `own` open the links to their counterparts
+// in cell `other`; otherwise the hosts of `other` open them. Each cell opens
+// the links to every second cell after it and to every second cell before it,
+// so that no host opens most of its links.
 bool opens_link(std::size_t own, std::size_t other)
 {
     const bool is_even = (own + other) % 2 == 0;
@@ -64,8 +66,9 @@
     for (std::size_t cell = 0; cell < cells.size(); ++cell) {
         if (cell == own->cell)
             continue;
-        // In a smaller cell one host is the counterpart of several; each of
-        // these opens its link to it.
+        // If the other cell is smaller, one of its hosts is the counterpart of
+        // several hosts of this cell. Those whose position does not exist in
+        // the other cell always open the link themselves.
         const auto& members = cells[cell].members;
         if (opens_link(own->cell, cell) || own->member >= members.size())
             add(members, own->member);
--- a/services/entry/src/table_history.cpp
+++ b/services/entry/src/table_history.cpp
@@ -67,7 +67,9 @@
     full_step_.reset();
 }
 
-// Steps that together exceed the size of the table are of no use.
+// Drops the oldest steps while there are more than `max_steps`, or while all
+// steps together exceed the size of the table: sending the full table is then
+// cheaper.
 void table_history::add(std::string base, wire::table_step step)
 {
     steps_.push_back({std::move(base), std::move(step)});
