--- a/services/entry/include/godwit/entry/entry_settings.hpp
+++ b/services/entry/include/godwit/entry/entry_settings.hpp
@@ -30,7 +30,8 @@
     core::duration stop_grace = std::chrono::seconds(8);
     /// The share of a service's requests that may be retried.
     double retry_share = 0.2;
-    /// Retries beyond that share, of all hosts together in one window.
+    /// Number of retries beyond `retry_share` that all hosts together may make
+    /// in one window.
     double retry_allowance = 50;
     core::duration retry_window = std::chrono::seconds(10);
 
--- a/services/entry/include/godwit/entry/neighbour_links.hpp
+++ b/services/entry/include/godwit/entry/neighbour_links.hpp
@@ -18,14 +18,15 @@
 
 namespace godwit::entry {
 
-/// Callbacks of the links to their host.
+/// Callbacks from the links to the process of this host.
 struct neighbour_handlers
 {
     /// Returns the messages to send to this neighbour now that its link is
     /// open.
     std::function<std::vector<wire::message>(const wire::hello&)>
         initial_messages;
-    /// A neighbour sent a message over its link, whose hello has been received.
+    /// Called when a neighbour sent a message over its link, after its hello
+    /// was received.
     std::function<void(const std::shared_ptr<wire::link>&, wire::message)>
         on_message;
 };
@@ -61,7 +62,7 @@
     /// Connects to those of the settings' seeds that are not linked yet.
     void connect_seeds();
 
-    /// Sets the hosts that are known now and closes links to others.
+    /// Sets the known hosts and closes the links to all other hosts.
     void set_hosts(const std::vector<known_host>& hosts);
 
     /// Sends to those recipients whose links are open.
--- a/services/entry/include/godwit/entry/report_poller.hpp
+++ b/services/entry/include/godwit/entry/report_poller.hpp
@@ -10,9 +10,10 @@
 
 namespace godwit::entry {
 
-/// Polls the servers that run this host's streams for whether they are
-/// draining, while the list of servers cannot be read. Without it an outage of
-/// the list would cost every stream whose server ends meanwhile.
+/// Polls servers for whether they are draining: those that run this host's
+/// streams while the server list cannot be read, or every usable engine.
+/// Without the polls, every stream whose server ends during an outage of the
+/// list would be lost.
 class report_poller
 {
 public:
--- a/services/entry/include/godwit/entry/server_list_readers.hpp
+++ b/services/entry/include/godwit/entry/server_list_readers.hpp
@@ -16,16 +16,18 @@
 /// is known from the hosts' reports, and the next one takes over when its
 /// reports stop.
 ///
-/// This serves fleets of hundreds of hosts: each call to the source has its
-/// cost, and what one host reads reaches its neighbours within milliseconds.
+/// In fleets of hundreds of hosts not every host should read the list: each
+/// call to the source has its cost, and what one host reads reaches its
+/// neighbours within milliseconds.
 class server_list_readers
 {
 public:
-    /// A host whose latest report, possibly relayed by several hosts, is older
-    /// than this may have stopped.
+    /// Time for which a host's latest report, possibly relayed by several
+    /// hosts, is valid. A host whose latest report is older may have stopped.
     static constexpr core::duration report_lifetime = std::chrono::seconds(2);
-    /// This host counts as a reader for this time after each of its reads: as
-    /// long as the next one may be held open by the source and paused before.
+    /// Time after each of its reads for which this host counts as a reader: the
+    /// pause before the next read plus the time that the source may hold it
+    /// open.
     static constexpr core::duration reader_lifetime =
         std::chrono::milliseconds(3500);
 
@@ -60,8 +62,8 @@
     /// others.
     [[nodiscard]] bool is_primary(core::time_point now) const;
 
-    /// Returns whether one of these hosts that precedes this one by name reads
-    /// the list, so that this one need not.
+    /// Returns whether any of these hosts that precedes this host by name reads
+    /// the list, so that this host need not.
     [[nodiscard]] bool has_earlier_reader(
         const std::set<core::host_name>& peers, core::time_point now) const;
 
--- a/services/entry/include/godwit/entry/source_refresh.hpp
+++ b/services/entry/include/godwit/entry/source_refresh.hpp
@@ -7,14 +7,14 @@
 
 namespace godwit::entry {
 
-/// After a suspension of the host, the route table and the list of servers may
-/// be long outdated. Decides for how long requests wait until both were read
-/// again.
+/// Decides for how long requests wait after a suspension of the host until the
+/// route table and the server list were read again, because both may be long
+/// outdated.
 class source_refresh
 {
 public:
-    /// After this time a host whose source does not respond serves requests
-    /// with what it knows.
+    /// Maximum time that requests wait. After it, a host whose source does not
+    /// respond serves requests with the table and the list that it has.
     static constexpr core::duration max_duration = std::chrono::seconds(1);
 
     /// Records that the host resumed at `now`.
--- a/services/entry/include/godwit/entry/table_fetch_scheduler.hpp
+++ b/services/entry/include/godwit/entry/table_fetch_scheduler.hpp
@@ -17,22 +17,26 @@
 {
     core::host_name neighbour;
     std::uint64_t version = 0;
-    bool full = false; ///< Not only the changes since this host's version.
+    /// Whether to request the full table instead of the changes since this
+    /// host's version.
+    bool full = false;
 
     friend bool operator==(const table_fetch&, const table_fetch&) = default;
 };
 
 /// Decides when to fetch a version of the route table that this host lacks, and
 /// from which neighbour. One neighbour is asked at a time, so that a large
-/// table crosses the host's link once; a neighbour that does not respond is not
-/// waited for.
+/// table crosses this host's network link only once. If the neighbour does not
+/// respond in time, another neighbour is asked.
 class table_fetch_scheduler
 {
 public:
-    /// Time for the source to deliver a version that neighbours have.
+    /// Time that the table's source has to deliver a version that neighbours
+    /// have, before it is requested from a neighbour.
     static constexpr core::duration source_grace_period =
         std::chrono::milliseconds(250);
-    /// Timeout of the first request; it doubles with each further one.
+    /// Timeout of the first request for a table; it doubles with each further
+    /// request.
     static constexpr core::duration initial_timeout = std::chrono::seconds(1);
 
     explicit table_fetch_scheduler(core::host_name self)
--- a/services/entry/include/godwit/entry/table_loader.hpp
+++ b/services/entry/include/godwit/entry/table_loader.hpp
@@ -21,7 +21,7 @@
     std::string text;
     std::string source;
     std::size_t received_bytes = 0; ///< Of the text or changes received.
-    /// The changes that it was made from, if it was received as changes.
+    /// The changes from which the text was made, if it was received as changes.
     std::optional<wire::table_changes> changes = {};
 };
 
@@ -46,8 +46,8 @@
             on_parsed;
     };
 
-    /// Maximum number of waiting tables. Beyond it the oldest one is dropped,
-    /// as only the newest has to become active.
+    /// Maximum number of waiting tables. If there are more, the oldest one is
+    /// dropped, because only the newest has to become active.
     static constexpr std::size_t max_waiting = 4;
 
     table_loader(boost::asio::any_io_executor executor, handlers callbacks);
--- a/services/entry/include/godwit/entry/table_parser.hpp
+++ b/services/entry/include/godwit/entry/table_parser.hpp
@@ -9,13 +9,14 @@
 
 namespace godwit::entry {
 
-/// The result of one slice of parsing a route table: empty while there is more
-/// to do, then the table, or why it is invalid.
+/// The result of one slice of parsing a route table: empty while parsing has
+/// not finished, afterwards the table or the error that makes it invalid.
 using table_parse_result =
     std::optional<core::result<std::shared_ptr<const routing::route_table>>>;
 
-/// Parses a route table: each call does one slice of the work, short enough for
-/// requests that wait meanwhile. Not called again after its end.
+/// Parses a route table. Each call does one slice of the work, which is short
+/// enough that requests can wait for its end. The function is not called again
+/// once it has returned the table or an error.
 using table_parser = std::function<table_parse_result()>;
 
 } // namespace godwit::entry
--- a/services/entry/include/godwit/entry/table_request_queue.hpp
+++ b/services/entry/include/godwit/entry/table_request_queue.hpp
@@ -25,17 +25,18 @@
 };
 
 /// Queue of neighbours' requests for this host's route table. Each waits until
-/// earlier responses have nearly been sent: sent together, all of them would
-/// arrive only with the last one, and other messages that share the link would
-/// wait as long.
+/// earlier responses have nearly been sent. If all responses were sent
+/// together, each would arrive only when the last one does, and other messages
+/// that share the link would wait as long.
 template<queueing_link Link, class Request>
 class table_request_queue
 {
 public:
-    /// Bytes of earlier responses that may be unsent when the next one is
-    /// started.
+    /// Maximum number of bytes of earlier responses that may be unsent when the
+    /// next response is started.
     static constexpr std::size_t max_queued_bytes = std::size_t{64} * 1024;
-    /// A neighbour that has waited longer has meanwhile asked another one.
+    /// Maximum time that a request waits. A neighbour that has waited longer
+    /// has meanwhile sent its request to another host.
     static constexpr core::duration max_wait = std::chrono::seconds(1);
 
     void add(std::shared_ptr<Link> link, Request request, core::time_point now)
--- a/services/entry/src/entry_process.cpp
+++ b/services/entry/src/entry_process.cpp
@@ -22,8 +22,8 @@
 constexpr std::string_view component = "entry";
 // How often waiting requests are retried and expired servers are removed.
 constexpr core::duration tick_interval = std::chrono::milliseconds(50);
-// An interval between two ticks of at least this length is logged: the process
-// was suspended, stopped or starved of CPU time.
+// Shortest interval between two ticks that counts as a stall and is logged: the
+// process was suspended, stopped or starved of CPU time.
 constexpr core::duration stall_threshold = std::chrono::seconds(1);
 // How long a host that joins a fleet waits for the first message of another
 // host.
@@ -42,7 +42,8 @@
 // that is left of a server's notice of about two seconds, of which the copies
 // need one.
 constexpr core::duration regular_poll_interval = std::chrono::milliseconds(600);
-// The settings file may change without a signal.
+// Interval at which the settings file is read again, because it may change
+// without a signal.
 constexpr core::duration reload_interval = std::chrono::seconds(5);
 // The limits in the route table are set by its operator; a buffer of this size
 // for each connection is the most that fits into the memory of a small host.
@@ -295,8 +296,8 @@
         component,
         "server_left",
         {{"server", server}, {"source", source}});
-    // Broadcast at once and forwarded from host to host, as the server gives
-    // short notice.
+    // The change is broadcast at once and forwarded from host to host, because
+    // the server gives short notice.
     unsent_servers_.insert(server);
     broadcast_changed_servers();
     context_.health.forget(server);
@@ -435,7 +436,7 @@
     return refresh_.is_pending(loader_.is_busy(), core::monotonic_now());
 }
 
-// Returns whether a neighbour may have a newer route table than this host. A
+// Returns whether a newer route table than the active one may exist. A
 // host that starts reads the table from its source first; a source that was
 // restored may have an older version than the neighbours, so that the host
 // waits for their first messages.
--- a/services/entry/src/entry_process_crashes.cpp
+++ b/services/entry/src/entry_process_crashes.cpp
@@ -20,8 +20,8 @@
 
 constexpr std::string_view component = "neighbours";
 
-// Returns whether the request is known to have completed once without a crash
-// after that.
+// Returns whether the request is known to have completed and no crash after its
+// completion is known.
 bool is_cleared(
     const admission::request_quarantine& quarantine,
     const admission::request_fingerprint& request)
--- a/services/entry/src/entry_process_limits.cpp
+++ b/services/entry/src/entry_process_limits.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::string_view component = "neighbours";
-// Used until the hosts of the fleet are known.
+// Number of hosts that is assumed until the hosts of the fleet are known.
 constexpr std::size_t assumed_fleet_size = 6;
 
 } // namespace
--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -66,7 +66,8 @@
         messages.emplace_back(crash_reports_message());
     if (!context_.limits.empty())
         messages.emplace_back(limits_message());
-    // Later reports have the changes only.
+    // A link to another cell begins with all load sums of this cell, because
+    // later reports contain only the changes.
     if (!neighbours_->is_cell_peer(peer.host)) {
         if (auto sums = load_reporter_.full(neighbours_->cell()))
             messages.emplace_back(std::move(*sums));
@@ -142,9 +143,10 @@
     load_sent_at_ = now;
 }
 
-// Hosts of other cells need only the sums of this cell, and each receives them
-// from its counterparts here. A host without recent reports from most of its
-// cell would send sums that are too low.
+// Broadcasts the load sums of this cell. Hosts of other cells need no more than
+// these, and each receives them from its counterparts in this cell. A host
+// without recent reports from most of its cell would send sums that are too
+// low.
 void entry_process::broadcast_cell_load()
 {
     const core::time_point now = core::monotonic_now();
@@ -167,9 +169,9 @@
         neighbours_->broadcast(*message, audience::other_cells);
 }
 
-// Broadcast as soon as possible, so that hosts which place requests within
-// milliseconds of each other do not all choose the server that was the
-// emptiest; load that ends may wait for the next tick.
+// Broadcasts new load as soon as possible, so that hosts which place requests
+// within milliseconds of each other do not all choose the server that was the
+// emptiest. Load that ends may wait for the next tick.
 void entry_process::schedule_load_broadcast()
 {
     if (std::exchange(is_load_broadcast_scheduled_, true))
--- a/services/entry/src/entry_process_reload.cpp
+++ b/services/entry/src/entry_process_reload.cpp
@@ -42,8 +42,8 @@
     apply_settings(*read);
 }
 
-// Logged once for each change of the file. `restart` means that a changed value
-// takes effect only at the next start.
+// The settings are logged once for each change of the file. `restart` means
+// that a changed value takes effect only at the next start.
 void entry_process::apply_settings(const entry_settings& read)
 {
     const entry_settings applied =
--- a/services/entry/src/entry_process_slow_servers.cpp
+++ b/services/entry/src/entry_process_slow_servers.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-// The report interval of other cells; two late events take longer.
+// Interval between two comparisons of the servers: the interval at which other
+// cells report. Two late events take longer than it.
 constexpr core::duration comparison_interval = std::chrono::milliseconds(100);
 
 } // namespace
--- a/services/entry/src/entry_process_stop.cpp
+++ b/services/entry/src/entry_process_stop.cpp
@@ -13,8 +13,9 @@
 namespace {
 
 constexpr std::string_view component = "entry";
-// A load balancer probes once a second and removes a host after two failures;
-// new connections arrive for that long after the stop signal.
+// Time after the stop signal during which new connections are accepted. A load
+// balancer probes once a second and removes a host after two failures; until
+// then new connections arrive.
 constexpr core::duration accept_duration_after_stop =
     std::chrono::milliseconds(2600);
 // The part of the grace period that is left for closing sockets and ending.
--- a/services/entry/src/entry_process_tables.cpp
+++ b/services/entry/src/entry_process_tables.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr std::string_view component = "tables";
-// The frame limit between hosts, less the space for the message's other fields.
+// Maximum size of a table in a message: the frame limit between hosts, less the
+// space for the message's other fields.
 constexpr std::size_t max_table_bytes =
     wire::default_frame_limit - std::size_t{4} * 1024;
 
@@ -31,8 +32,8 @@
     loader_.add({text, std::string(source), text.size()});
 }
 
-// Most hosts of a fleet receive each version twice, from the source and from a
-// neighbour.
+// Returns whether the table needs to be parsed. Most hosts of a fleet receive
+// each version twice, from its source and from a neighbour.
 bool entry_process::is_new_table(const received_table& table) const
 {
     return !context_.routes || table.text != tables_.text();
@@ -57,7 +58,7 @@
     table_fetches_.record_response(source, core::monotonic_now());
 }
 
-// Neighbours get the changes as they were received.
+// Stores the table for neighbours, which get its changes as they were received.
 void entry_process::add_to_history(received_table table)
 {
     const bool follows =
@@ -95,9 +96,10 @@
     add_to_history(std::move(table));
 }
 
-// Only the version is announced. The table may be large, and the source
-// delivers it to nearly every host: sent to each neighbour at once, it fills
-// the links of small hosts for seconds, and no further version gets through.
+// Handles the version of a neighbour's table. Hosts announce only the version,
+// because the table may be large and its source delivers it to nearly every
+// host: a table sent to each neighbour at once would fill the links of small
+// hosts for seconds, and no further version would get through.
 void entry_process::handle_table_version(
     const core::host_name& host, std::uint64_t version)
 {
--- a/services/entry/src/neighbour_links.cpp
+++ b/services/entry/src/neighbour_links.cpp
@@ -26,8 +26,9 @@
     return {asio::ip::make_address(address.address()), address.port()};
 }
 
-// Messages that a frozen neighbour does not read must not take up memory
-// without bound, and the reports of a failed one must not be used for long.
+// Returns the options that limit the effect of a failing neighbour: messages
+// that a frozen neighbour does not read must not take up memory without bound,
+// and the reports of a neighbour that failed must not be used for long.
 wire::link_options link_options()
 {
     wire::link_options options;
--- a/services/entry/src/report_poller.cpp
+++ b/services/entry/src/report_poller.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-// A report needs no slot; a server that takes longer cannot be reached.
+// Timeout of a poll. A report needs no slot at the server, so that a server
+// that takes longer counts as one that cannot be reached.
 constexpr core::duration report_timeout = std::chrono::milliseconds(600);
 
 // A report of a later process means that the polled one has ended, which the
--- a/services/entry/src/server_limit_exchange.cpp
+++ b/services/entry/src/server_limit_exchange.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Bounds the requests in one message about a server.
+// Maximum number of requests to a server that one message may report.
 constexpr std::uint32_t max_sends = 100'000;
 
 } // namespace
--- a/services/entry/src/table_fetch_scheduler.cpp
+++ b/services/entry/src/table_fetch_scheduler.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The timeout doubles up to eight times the first one.
+// How often the timeout doubles at most: it grows up to eight times the first
+// one.
 constexpr unsigned max_doublings = 3;
 
 core::duration timeout_after(unsigned requests_before)
@@ -49,8 +50,9 @@
     needs_full_table_ = false;
 }
 
-// The pause keeps this host from asking a neighbour whose table it cannot parse
-// again as fast as it responds.
+// Starts a pause after a response without a newer version. Without the pause
+// this host would repeat its request to a neighbour whose table it cannot parse
+// as fast as the neighbour responds.
 void table_fetch_scheduler::record_response(
     const core::host_name& neighbour, core::time_point now)
 {
@@ -80,9 +82,10 @@
 }
 
 // Chooses, among the neighbours that were asked the least, one with the newest
-// version. Each host starts with another neighbour: all of them receive the
-// first announcement at the same moment, and the link of that neighbour would
-// be the next to be saturated.
+// version. Each host starts with a different neighbour: all hosts receive the
+// first announcement at the same moment, and if all asked the same
+// neighbour, the network link of that neighbour would be the next to be
+// saturated.
 table_fetch_scheduler::announcements::iterator table_fetch_scheduler::choose()
 {
     const auto rank = [this](const announcements::value_type& each) {
