--- a/services/entry/src/entry_process_neighbours.cpp
+++ b/services/entry/src/entry_process_neighbours.cpp
@@ -24,8 +24,8 @@
 constexpr std::string_view component = "neighbours";
 // Neighbours drop a host's load report after a few seconds without a new one.
 constexpr core::duration load_refresh_interval = std::chrono::milliseconds(500);
-// Bounds how long a neighbour that fails while it claims a link holds up
-// others.
+// Maximum duration of a claim to a server's network link. It bounds how long a
+// host that fails during its claim holds up the migrations of other hosts.
 constexpr core::duration max_link_claim = std::chrono::milliseconds(500);
 // How long a host that joins a fleet may take until it has links to other hosts
 // and their reports of who reads the list.
@@ -66,7 +66,8 @@
         messages.emplace_back(crash_reports_message());
     if (!context_.limits.empty())
         messages.emplace_back(limits_message());
-    // Later reports have the changes only.
+    // A link to another cell begins with all load sums of this cell, because
+    // later reports contain only the changes.
     if (!neighbours_->is_cell_peer(peer.host)) {
         if (auto sums = load_reporter_.full(neighbours_->cell()))
             messages.emplace_back(std::move(*sums));
@@ -132,7 +133,8 @@
 {
     const core::time_point now = core::monotonic_now();
     wire::host_work message = load_message();
-    // Runs grow with each event; growth alone is broadcast at the next refresh.
+    // Generations grow with each event, so that growth alone is not broadcast
+    // at once but at the next refresh.
     if (differs_only_in_growth(message, last_sent_load_) &&
         now - load_sent_at_ < load_refresh_interval)
         return;
@@ -141,9 +143,10 @@
     load_sent_at_ = now;
 }
 
-// Hosts of other cells need only the sums of this cell, and each receives them
-// from its counterparts here. A host without recent reports from most of its
-// cell would send sums that are too low.
+// Broadcasts the load sums of this cell. Hosts of other cells need no more than
+// these, and each receives them from its counterparts in this cell. A host
+// without recent reports from most of its cell would send sums that are too
+// low.
 void entry_process::broadcast_cell_load()
 {
     const core::time_point now = core::monotonic_now();
@@ -166,9 +169,9 @@
         neighbours_->broadcast(*message, audience::other_cells);
 }
 
-// Broadcast as soon as possible, so that hosts which place requests within
-// milliseconds of each other do not all choose the server that was the
-// emptiest; load that ends may wait for the next tick.
+// Broadcasts new load as soon as possible, so that hosts which place requests
+// within milliseconds of each other do not all choose the server that was the
+// emptiest. Load that ends may wait for the next tick.
 void entry_process::schedule_load_broadcast()
 {
     if (std::exchange(is_load_broadcast_scheduled_, true))
@@ -219,8 +222,9 @@
         host, std::move(servers), core::monotonic_now() + hold);
 }
 
-// A neighbour polled the server itself. Its notice may arrive late: then it is
-// about a process that has ended, and another one may run at the address.
+// Handles the notice of a neighbour that polled the server itself. A notice
+// that arrives late is about a server process that has ended; another process
+// may run at the address by then.
 void entry_process::handle_server_notice(
     const core::host_name& host, const wire::server_sign& message)
 {
@@ -343,8 +347,8 @@
     update_list_readers(host, message);
     if (message.reads_list)
         outage_.record_neighbour_read(core::monotonic_now());
-    // The first message on a link to another cell: that cell's sums include the
-    // host's load.
+    // A host of another cell sends its load only as the first message on a
+    // link. It is ignored here, because the sums of that cell include it.
     if (!neighbours_->is_cell_peer(host))
         return;
     context_.ledger.update_from_neighbour(host, work, core::monotonic_now());
