--- a/libraries/admission/include/godwit/admission/request_quarantine.hpp
+++ b/libraries/admission/include/godwit/admission/request_quarantine.hpp
@@ -12,7 +12,8 @@
 
 namespace godwit::admission {
 
-/// Tracks the requests that crash the backend servers that run them.
+/// Tracks the requests that crash the backend servers that run them. A run is
+/// one execution of a request on a backend server.
 ///
 /// A server crash ends every run on that server and is counted for each of
 /// their requests. A request is quarantined after `crash_limit` crashes with no
@@ -43,8 +44,9 @@
     static constexpr core::duration completed_run_validity =
         std::chrono::seconds(5);
     /// Minimum time between trials on one host, and the delay of the first
-    /// trial per host rank, so that a host can receive the result of an earlier
-    /// trial.
+    /// trial for each rank of a host, its zero-based position in the order in
+    /// which hosts start trials. A host can thus receive the result of an
+    /// earlier trial before it starts its own.
     static constexpr core::duration trial_interval = std::chrono::seconds(30);
     static constexpr std::size_t max_requests = 1024;
     static constexpr std::size_t max_requests_per_organisation = 256;
--- a/libraries/admission/include/godwit/admission/wait_policy.hpp
+++ b/libraries/admission/include/godwit/admission/wait_policy.hpp
@@ -11,7 +11,7 @@
 {
     core::time_point arrival_time;
     core::time_point deadline;  ///< When its caller disconnects.
-    core::duration objective{}; ///< Until its first event.
+    core::duration objective{}; ///< Target time until its first event.
     int priority = 0;           ///< 0 is the most urgent.
 
     friend bool
--- a/libraries/admission/src/wait_policy.cpp
+++ b/libraries/admission/src/wait_policy.cpp
@@ -16,12 +16,15 @@
 constexpr double max_wait_objectives = 3.2;
 constexpr double max_wait_share = 0.55;
 // The share of the latency objective that an engine may need to prefill its
-// prompts. Prompts share the prefill rate of an engine, so that another one
-// delays those that were started before.
+// prompts. All prompts at an engine share its prefill rate, so that each added
+// prompt delays the prompts that were started before.
 constexpr double prefill_share = 0.6;
-// Prefill rate of a busy engine next to its running generations, for engines
-// that prefill 14 tokens per millisecond between steps of 7 ms. Deriving the
-// rate from the times of first events made no difference to callers.
+// Prefill rate of a busy engine. An engine prefills 14 tokens per millisecond,
+// but alternates with decoding steps of 7 ms for its running generations, which
+// halves the rate.
+//
+// The rate is a constant because deriving it from the times of first events
+// made no difference to callers.
 constexpr double prefill_tokens_per_ms = 7.0;
 // Capacity that becomes free goes to requests of any host that can start in
 // time: these try to get it at once, late ones only at this interval.
--- a/libraries/placement/include/godwit/placement/load_ledger.hpp
+++ b/libraries/placement/include/godwit/placement/load_ledger.hpp
@@ -22,7 +22,8 @@
     friend bool operator==(const server_work&, const server_work&) = default;
 };
 
-/// The name of a group of hosts that report the sum of their work.
+/// The name of a group of hosts that report the sum of their work. The entry
+/// service calls such a group a cell.
 using host_group = core::identifier<struct host_group_tag>;
 
 /// Whether a report has all work of a group, or only what changed.
@@ -94,7 +95,9 @@
         [[nodiscard]] bool is_fresh(core::time_point now) const;
     };
 
+    /// Adds the report's work to `others_total_`, unless it is included.
     void count(load_report& report) const;
+    /// Removes the report's work from `others_total_` if it is included.
     void uncount(load_report& report) const;
     void uncount_expired(core::time_point now) const;
 
--- a/libraries/placement/include/godwit/placement/placer.hpp
+++ b/libraries/placement/include/godwit/placement/placer.hpp
@@ -36,7 +36,7 @@
     work_size work;
     placement_purpose purpose = placement_purpose::start;
     /// How many prompt tokens a server may have to prefill, including those of
-    /// the request; a server without prefill takes any request.
+    /// the request; a server that is not prefilling anything takes any request.
     std::uint64_t max_unread_tokens = std::numeric_limits<std::uint64_t>::max();
     core::zone_name preferred_zone; ///< The zone that is cheapest to reach.
     /// Excludes servers of other zones.
@@ -89,10 +89,14 @@
         const backend_server& server,
         const work_size& load,
         const server_speed& speed) const;
+    /// Whether the server joined so recently that this host does not use it
+    /// yet.
     [[nodiscard]] bool is_joining(
         const placement_request& request,
         const backend_server& server,
         core::time_point now) const;
+    /// Whether the server is on probation and this host must not try it now:
+    /// another request runs there, or it is not yet this host's turn.
     [[nodiscard]] bool is_tried_by_others(
         const backend_server& server,
         const work_size& load,
--- a/libraries/placement/include/godwit/placement/server_directory.hpp
+++ b/libraries/placement/include/godwit/placement/server_directory.hpp
@@ -15,13 +15,13 @@
 {
     none,
     appeared, ///< It became usable.
-    left,     ///< It takes no new requests from now on.
+    left,     ///< It became draining: it gets no new requests from now on.
     /// It restarted: all work of its former incarnation is lost. The new one
     /// is not necessarily usable.
     restarted,
 };
 
-/// The state of the list's source when it removed a record.
+/// The state of the store that holds the server list, when it removed a record.
 enum class source_state
 {
     steady,
@@ -31,7 +31,7 @@
 /// The backend servers known to this host.
 ///
 /// A record that is removed means that its server is draining, except after
-/// the source was unavailable, when the record may have expired: then the
+/// the store was unavailable, when the record may have expired: then the
 /// server stays for `expiry_grace`, within which a running server registers
 /// again.
 class server_directory
@@ -43,21 +43,22 @@
     /// the initial list and did not join.
     static constexpr core::duration initial_view_window =
         std::chrono::seconds(1);
-    /// How long a server that left is kept, for the requests that it still
-    /// runs.
+    /// How long a draining server is kept after it left, for the requests that
+    /// it still runs.
     static constexpr core::duration departed_retention =
         std::chrono::seconds(60);
 
     /// Applies a record of the server. Records that are older than the known
-    /// one, or of a former incarnation, are ignored. Another server of the
-    /// service with the same address has ended and is marked as draining.
+    /// one, or of a former incarnation, are ignored. If another server of the
+    /// service has the same address, its process must have ended, and it is
+    /// marked as draining as well, so that it gets no new requests.
     directory_change update(const backend_server& server, core::time_point now);
 
-    /// Notes that the source still lists the server: its record did not expire,
+    /// Notes that the store still lists the server: its record did not expire,
     /// or was restored unchanged. Has no effect on a draining server.
     void confirm(const server_id& id);
 
-    /// Notes that the source removed the server's record.
+    /// Notes that the store removed the server's record.
     directory_change
     remove(const server_id& id, source_state source, core::time_point now);
 
--- a/libraries/placement/src/event_gaps.cpp
+++ b/libraries/placement/src/event_gaps.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Ratio of the two means. A smaller change does not change the result for a
-// server on its own: it is slow from 2.2 times the median and has recovered
-// below 1.5 times.
+// Ratio of the two means from which they differ significantly. A smaller change
+// alone does not change whether a server counts as slow: it is slow from 2.2
+// times the median and has recovered below 1.5 times.
 constexpr double significant_ratio = 1.5;
 
 } // namespace
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -25,6 +25,9 @@
 // Rebalancing is optional, and memory that it uses is not available for starts,
 // so that it needs a server with much free memory.
 constexpr double rebalance_memory_share = 0.75;
+// Costs have no unit: 1 is the cost of a server whose KV cache memory is full
+// with planned work, and an idle server in the preferred zone costs 0.
+
 // Unread prompt tokens that cost as much as a full memory: about two seconds of
 // prefill next to running generations. At a quarter of this, requests went to
 // other zones to avoid short waits, and 1.8% fewer long streams were in time
@@ -34,32 +37,37 @@
 // and a stream stalls while a partition separates it from its engine's zone.
 constexpr double other_zone_cost = 0.35;
 // Cost of each second until a migration's copy is complete, including the
-// copies before it. Draining servers leave about two seconds, so that a second
-// costs as much as two full memories.
+// copies to the same server before it. A draining server ends about two seconds
+// after its notice, so that each second costs as much as two full memories.
 constexpr double copy_second_cost = 2.0;
 // A copy takes twice as long to another zone.
 constexpr double other_zone_copy_factor = 2.0;
-// In addition to the duration of the copy. Exceeds the jitter between hosts, so
-// that runs change zones only if copies queue or memory is short.
+// Cost of a migration to another zone, in addition to the cost of the copy's
+// duration. It exceeds `migration_jitter`, so that generations change zones
+// only if copies queue or memory is short.
 constexpr double other_zone_migration_cost = 0.6;
 // A server that fails every request costs as much as two full memories.
 constexpr double failure_cost = 2.0;
-// For each multiple by which a server is slower than the others. A prompt that
+// Cost of a slow server, multiplied by its slowness factor minus one: a server
+// that decodes twice as slowly as the median has a factor of two. A prompt that
 // is prefilled at a third of the speed makes all streams of that server late,
 // so that a server that is twice as slow costs as much as a full one.
 constexpr double slowness_cost = 1.0;
-// For a server on probation: it is tried when the others are busy.
+// Cost of a server on probation, so that it gets a request only when the other
+// servers are busy.
 constexpr double probation_cost = 0.35;
 // Time over which hosts gradually start to use a new server. They all see the
-// empty server at the same time, and learn only later what others sent to it.
+// empty server at the same time, and learn only later what other hosts sent.
 // If all used it at once, each would send its waiting requests: up to thirteen
 // prompts arrived within a millisecond, of which the last started 5 s later.
-// One takes about 200 ms to prefill.
+// The prefill of one such prompt takes about 200 ms.
 constexpr core::duration joining_window = std::chrono::milliseconds(600);
-// Spreads the choices of hosts with the same information.
+// Upper bound of the random cost that is added to each candidate server, so
+// that hosts with the same information choose different servers.
 constexpr double jitter = 0.05;
-// All hosts choose at the same time when a server drains, and copies to one
-// destination wait for each other.
+// Upper bound of the random cost that is added to each candidate server of a
+// migration. It is larger than `jitter`, because all hosts choose at the same
+// time when a server drains, and copies to one destination wait for each other.
 constexpr double migration_jitter = 0.4;
 
 // Returns how long a copy of the work's KV cache takes, including the copies to
--- a/libraries/routing/include/godwit/routing/engine_profile.hpp
+++ b/libraries/routing/include/godwit/routing/engine_profile.hpp
@@ -6,13 +6,16 @@
 
 namespace godwit::routing {
 
-/// The capacity and features of a backend server of a language model.
+/// The capacity and features of an engine: a backend server of a language
+/// model.
 struct engine_profile
 {
-    std::uint32_t slots = 1;         ///< Generations in one batch.
-    std::uint64_t memory_tokens = 0; ///< Of all generations together.
-    std::uint64_t token_bytes = 0;   ///< KV cache memory of one token.
-    double link_mbit_per_second = 0; ///< For copies of KV caches.
+    std::uint32_t slots = 1; ///< Generations in one batch.
+    /// KV cache capacity in tokens, for all generations together.
+    std::uint64_t memory_tokens = 0;
+    std::uint64_t token_bytes = 0; ///< KV cache memory of one token.
+    /// Network bandwidth for copies of KV caches between servers.
+    double link_mbit_per_second = 0;
     std::uint32_t tokens_per_event = 1;
     bool can_migrate = false; ///< Generations can continue on other servers.
     bool can_back_up = false; ///< Copies KV caches elsewhere as they grow.
--- a/libraries/routing/include/godwit/routing/route_table.hpp
+++ b/libraries/routing/include/godwit/routing/route_table.hpp
@@ -60,7 +60,8 @@
     [[nodiscard]] const service*
     find_service(const core::service_name& name) const;
 
-    /// Whether the service with that name is a language model.
+    /// Whether the service with that name is a language model, whose backend
+    /// servers are called engines.
     [[nodiscard]] bool has_engines(const core::service_name& name) const;
 
     /// Returns the organisation that has `key`, or null.
