--- a/libraries/admission/include/godwit/admission/crash_report.hpp
+++ b/libraries/admission/include/godwit/admission/crash_report.hpp
@@ -15,7 +15,8 @@
 {
     placement::server_id server;
     placement::server_start start;
-    core::time_point at; ///< When the run was lost.
+    /// When the run, the execution of the request on this server, was lost.
+    core::time_point at;
 
     /// Whether both refer to the same server process.
     [[nodiscard]] bool is_same_crash(const server_crash& other) const noexcept
@@ -30,7 +31,7 @@
 struct crash_report
 {
     request_fingerprint request;
-    core::organisation_name organisation; ///< The caller's.
+    core::organisation_name organisation; ///< The organisation of the caller.
     std::vector<server_crash> crashes;    ///< Unordered, no duplicates.
 
     /// Returns the time of the latest crash, or `core::time_point::min()` if
--- a/libraries/admission/include/godwit/admission/request_quarantine.hpp
+++ b/libraries/admission/include/godwit/admission/request_quarantine.hpp
@@ -19,7 +19,7 @@
 /// their requests. A request is quarantined after `crash_limit` crashes with no
 /// completed run in between. Requests that merely shared a server with a
 /// crashing one are cleared by their next completed run. Crashes of different
-/// servers, reported by different hosts, count together.
+/// servers count together, also if different hosts reported them.
 ///
 /// When a quarantine period ends, single runs of the request are permitted as
 /// trials, so that a request that was quarantined by mistake can be cleared.
@@ -43,10 +43,11 @@
     /// request that completes on one server does not crash every server.
     static constexpr core::duration completed_run_validity =
         std::chrono::seconds(5);
-    /// Minimum time between trials on one host, and the delay of the first
-    /// trial for each rank of a host, its zero-based position in the order in
-    /// which hosts start trials. A host can thus receive the result of an
-    /// earlier trial before it starts its own.
+    /// Minimum time between trials of a request on one host, and the delay of
+    /// the first trial on a host, multiplied by the host's rank: its zero-based
+    /// position among all hosts, in an order that the request determines by
+    /// rendezvous hashing. A host can thus receive the result of an earlier
+    /// trial on another host before it starts its own.
     static constexpr core::duration trial_interval = std::chrono::seconds(30);
     static constexpr std::size_t max_requests = 1024;
     static constexpr std::size_t max_requests_per_organisation = 256;
--- a/libraries/admission/include/godwit/admission/wait_policy.hpp
+++ b/libraries/admission/include/godwit/admission/wait_policy.hpp
@@ -33,11 +33,12 @@
 /// order in the queue, how often it tries to get a server, and when it is
 /// rejected.
 ///
-/// Meant for bursts of a few seconds. Requests that can still start in time go
-/// first, since each late request that is served before them makes another one
-/// late. Late requests get the remaining capacity: a caller who waits minutes
-/// for a text prefers a late one to none. A request that would end only after
-/// its caller has disconnected is rejected while there is time to retry.
+/// The policy is meant for overload bursts of a few seconds. Requests that can
+/// still start in time go first, since each late request that is served before
+/// them makes another request late. Late requests get the remaining capacity: a
+/// caller who waits minutes for a text prefers a late text to none. A request
+/// that would end only after its caller has disconnected is rejected while
+/// there is time to retry.
 class wait_policy
 {
 public:
@@ -48,7 +49,7 @@
     /// When the stage ends, unless the request gets a server before.
     [[nodiscard]] core::time_point stage_end(wait_stage stage) const;
 
-    /// The order in the queue: lower ranks go first.
+    /// Returns the request's rank in the queue: lower ranks are served first.
     [[nodiscard]] int rank(wait_stage stage) const;
 
     /// The earliest time of the next attempt after one that failed at `now`.
--- a/libraries/placement/include/godwit/placement/event_gaps.hpp
+++ b/libraries/placement/include/godwit/placement/event_gaps.hpp
@@ -21,8 +21,8 @@
     friend bool operator==(const event_gaps&, const event_gaps&) = default;
 };
 
-/// Whether the means differ so much that a decision may change, so that the
-/// new value should be broadcast to other hosts at once.
+/// Whether the mean gaps differ so much that a server may become slow or
+/// recover, so that the new value should be broadcast to other hosts at once.
 [[nodiscard]] bool differ_significantly(
     const event_gaps& reported, const event_gaps& now) noexcept;
 
--- a/libraries/placement/include/godwit/placement/server_limits.hpp
+++ b/libraries/placement/include/godwit/placement/server_limits.hpp
@@ -14,7 +14,7 @@
 /// The request limit in a backend server's last answer.
 struct server_limit
 {
-    /// Larger values are invalid.
+    /// The largest valid limit, in requests per second.
     static constexpr double max_per_second = 1e6;
 
     server_id server;
@@ -29,14 +29,16 @@
 /// Request limits of backend servers, each with a token bucket.
 ///
 /// Hosts report each request to a limited server to each other, so that all of
-/// them draw on the same bucket, which refills at the full limit: nothing is
-/// reserved for a single host. A host that is linked to a part of the fleet
-/// uses only that part's share of the limit, so that the parts of a partitioned
-/// fleet together stay within it.
+/// them count the same requests in their buckets. Each bucket refills at the
+/// full limit: no share of it is reserved for a single host. During a network
+/// partition, a host is linked only to the hosts on its side. It then uses only
+/// the share of the limit that these hosts have in the fleet, so that all sides
+/// together stay within the limit.
 class server_limits
 {
 public:
-    /// Capacity of a bucket, as time at the full rate; at least one request.
+    /// Capacity of a bucket, as the time in which it refills at the full rate.
+    /// A bucket holds at least one request.
     static constexpr core::duration burst = std::chrono::milliseconds(500);
     /// Lower limits are raised to this: only answers carry a changed limit, so
     /// that a server with a limit of 0 still has to get requests.
@@ -51,7 +53,7 @@
     std::optional<server_limit>
     update_from_answer(const server_limit& answer, core::time_point sent_at);
 
-    /// Applies a limit from another host. Returns whether it changed.
+    /// Applies a limit from another host. Returns whether the limit changed.
     bool update_from_neighbour(const server_limit& received);
 
     /// Counts requests that this host or another one sent to the server.
--- a/libraries/placement/include/godwit/placement/slow_server_detector.hpp
+++ b/libraries/placement/include/godwit/placement/slow_server_detector.hpp
@@ -19,7 +19,8 @@
 {
     server_id server;
     event_gaps gaps;
-    bool is_prefilling = false; ///< Concurrently with these events.
+    /// Whether the server prefills prompts while it sends these events.
+    bool is_prefilling = false;
 
     /// The mean gap that the server would have without prefill.
     [[nodiscard]] std::optional<double> decode_gap_ms() const noexcept;
@@ -76,14 +77,17 @@
     static constexpr double slow_threshold = 2.2;
     /// The multiple of the median gap below which a slow server has recovered.
     static constexpr double recovered_threshold = 1.5;
-    /// Callers notice no difference between servers with shorter gaps.
+    /// The lower bound of the median gap in comparisons: callers notice no
+    /// difference between servers with shorter gaps.
     static constexpr double min_gap_ms = 20.0;
-    /// With fewer servers that decode, the slow one cannot be identified.
+    /// The minimum number of decoding servers for a comparison: among fewer,
+    /// the slow server cannot be identified.
     static constexpr std::size_t min_compared_servers = 4;
     /// How long a server without streams still counts as slow.
     static constexpr core::duration slow_retention = std::chrono::seconds(2);
-    /// How long it gets one request at a time after that: only a stream shows
-    /// whether it has recovered, and otherwise all hosts would send their
+    /// How long a slow server gets one request at a time after
+    /// `slow_retention`: only a stream shows whether it has recovered, and
+    /// without this limit all hosts would send their
     /// requests at the same time.
     static constexpr core::duration probation = std::chrono::seconds(10);
 
--- a/libraries/placement/include/godwit/placement/work_size.hpp
+++ b/libraries/placement/include/godwit/placement/work_size.hpp
@@ -17,7 +17,7 @@
     std::uint64_t unread_tokens = 0;
     /// The part of `tokens` that is still being copied over the server's link.
     std::uint64_t arriving_tokens = 0;
-    event_gaps gaps = {}; ///< Of the streams that are decoding.
+    event_gaps gaps = {}; ///< The event gaps of the streams that are decoding.
 
     work_size& operator+=(const work_size& more) noexcept;
     work_size& operator-=(const work_size& less) noexcept;
--- a/libraries/placement/include/godwit/placement/zone_rebalancer.hpp
+++ b/libraries/placement/include/godwit/placement/zone_rebalancer.hpp
@@ -40,9 +40,10 @@
     static constexpr std::uint64_t min_remaining_tokens = 64;
 
     /// How long runs are not rebalanced after a server was seen to drain: its
-    /// runs need the links, and a rebalanced run would delay one that is lost
-    /// otherwise. After this time the first copies are done; links with copies
-    /// in progress are not used for rebalancing anyway.
+    /// runs need the network links between servers, and the copy of a
+    /// rebalanced run would delay that of a run which is lost unless it is
+    /// copied in time. After this time the first copies are done; servers that
+    /// are still receiving copies are not used for rebalancing anyway.
     static constexpr core::duration departure_cooldown =
         std::chrono::seconds(1);
 
--- a/libraries/placement/src/server_directory.cpp
+++ b/libraries/placement/src/server_directory.cpp
@@ -86,7 +86,7 @@
     if (found == servers_.end())
         return add(server, now);
     entry& known = found->second;
-    // An older record, from a slower source.
+    // Older records may arrive late, from a slower source of the server list.
     const std::strong_ordering age = compare_age(server, known.server);
     const bool is_older = age == std::strong_ordering::less;
     const bool is_unchanged = age == std::strong_ordering::equal &&
--- a/libraries/replay/include/godwit/replay/fleet_config.hpp
+++ b/libraries/replay/include/godwit/replay/fleet_config.hpp
@@ -27,7 +27,7 @@
     std::vector<joining_engine> engines;
     engine_config engine;
     std::vector<slowdown> slowdowns;
-    /// Until a host receives another host's load report.
+    /// Time until a host receives another host's load report.
     core::duration report_delay = std::chrono::milliseconds(2);
     std::uint64_t seed = 1;
 
--- a/libraries/replay/include/godwit/replay/generation_outcome.hpp
+++ b/libraries/replay/include/godwit/replay/generation_outcome.hpp
@@ -16,7 +16,7 @@
     std::optional<core::time_point> first_event;
     std::optional<core::time_point> ended;
     std::optional<core::time_point> rejected;
-    core::duration max_gap{}; ///< Between two of its events.
+    core::duration max_gap{}; ///< Longest time between two of its events.
     std::uint32_t preemptions = 0;
 
     friend bool
--- a/libraries/replay/include/godwit/replay/generation_request.hpp
+++ b/libraries/replay/include/godwit/replay/generation_request.hpp
@@ -12,8 +12,8 @@
 {
     std::size_t host = 0; ///< The entry host that receives it.
     core::time_point arrival_time;
-    core::duration latency_objective{}; ///< Until the first event.
-    core::duration caller_timeout{};    ///< Until the caller disconnects.
+    core::duration latency_objective{}; ///< Target time until the first event.
+    core::duration caller_timeout{};    ///< Time until the caller disconnects.
     int priority = 0;                   ///< 0 is the most urgent.
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_tokens = 0;          ///< The actual output.
--- a/libraries/routing/include/godwit/routing/route.hpp
+++ b/libraries/routing/include/godwit/routing/route.hpp
@@ -22,13 +22,14 @@
     retry_semantics retries = retry_semantics::at_most_once;
     /// Longest time until the complete response.
     core::duration timeout = std::chrono::seconds(30);
-    /// Until the response, or the first event of a stream.
+    /// Target time until the response, or until the first event of a stream.
     core::duration latency_objective = std::chrono::seconds(1);
     /// Longest gap between two events that counts as on time.
     core::duration gap_objective = std::chrono::milliseconds(200);
-    unsigned max_attempts = 1; ///< Backend servers that may run a request.
-    int priority = 0;          ///< 0 is the most urgent.
-    bool is_public = false;    ///< Requires no key.
+    unsigned max_attempts =
+        1;                  ///< Maximum number of servers that run a request.
+    int priority = 0;       ///< 0 is the most urgent.
+    bool is_public = false; ///< Requires no key.
     std::vector<weighted_service> services; ///< At least one.
 
     friend bool operator==(const route&, const route&) = default;
--- a/libraries/routing/include/godwit/routing/route_table_builder.hpp
+++ b/libraries/routing/include/godwit/routing/route_table_builder.hpp
@@ -24,8 +24,8 @@
 
 private:
     std::shared_ptr<route_table> table_;
-    std::size_t routes_ = 0;        ///< Indexed so far.
-    std::size_t organisations_ = 0; ///< Indexed so far.
+    std::size_t routes_ = 0;        ///< Number of routes indexed so far.
+    std::size_t organisations_ = 0; ///< Number of organisations indexed so far.
 };
 
 } // namespace godwit::routing
