--- a/libraries/placement/include/godwit/placement/server_limits.hpp
+++ b/libraries/placement/include/godwit/placement/server_limits.hpp
@@ -14,7 +14,8 @@
 /// The request limit in a backend server's last answer.
 struct server_limit
 {
-    /// The largest valid limit, in requests per second.
+    /// The largest valid limit, in requests per second. Larger values are
+    /// invalid.
     static constexpr double max_per_second = 1e6;
 
     server_id server;
--- a/libraries/placement/include/godwit/placement/slow_server_detector.hpp
+++ b/libraries/placement/include/godwit/placement/slow_server_detector.hpp
@@ -87,8 +87,7 @@
     static constexpr core::duration slow_retention = std::chrono::seconds(2);
     /// How long a slow server gets one request at a time after
     /// `slow_retention`: only a stream shows whether it has recovered, and
-    /// without this limit all hosts would send their
-    /// requests at the same time.
+    /// without this limit all hosts would send their requests at the same time.
     static constexpr core::duration probation = std::chrono::seconds(10);
 
     /// Compares the current gaps of all servers of one service. Returns the
--- a/libraries/placement/src/placer.cpp
+++ b/libraries/placement/src/placer.cpp
@@ -26,7 +26,7 @@
 // so that it needs a server with much free memory.
 constexpr double rebalance_memory_share = 0.75;
 // Costs have no unit: 1 is the cost of a server whose KV cache memory is full
-// with planned work, and an idle server in the preferred zone costs 0.
+// with planned work, and a healthy idle server in the preferred zone costs 0.
 
 // Unread prompt tokens that cost as much as a full memory: about two seconds of
 // prefill next to running generations. At a quarter of this, requests went to
--- a/libraries/replay/src/simulated_engine.cpp
+++ b/libraries/replay/src/simulated_engine.cpp
@@ -98,8 +98,8 @@
     });
 }
 
-// Preempts the newest runs. They are prefilled again when there is enough
-// memory.
+// Preempts the newest runs until the others fit into memory. The preempted runs
+// are prefilled again when there is enough memory.
 void simulated_engine::preempt_for_memory(std::vector<engine_event>& events)
 {
     while (runs_.size() > 1 && used_tokens() > config_.memory_tokens) {
--- a/libraries/routing/include/godwit/routing/route.hpp
+++ b/libraries/routing/include/godwit/routing/route.hpp
@@ -26,10 +26,10 @@
     core::duration latency_objective = std::chrono::seconds(1);
     /// Longest gap between two events that counts as on time.
     core::duration gap_objective = std::chrono::milliseconds(200);
-    unsigned max_attempts =
-        1;                  ///< Maximum number of servers that run a request.
-    int priority = 0;       ///< 0 is the most urgent.
-    bool is_public = false; ///< Requires no key.
+    /// The maximum number of backend servers that may run a request.
+    unsigned max_attempts = 1;
+    int priority = 0;                       ///< 0 is the most urgent.
+    bool is_public = false;                 ///< Requires no key.
     std::vector<weighted_service> services; ///< At least one.
 
     friend bool operator==(const route&, const route&) = default;
