--- a/libraries/placement/include/godwit/placement/copy_queue.hpp
+++ b/libraries/placement/include/godwit/placement/copy_queue.hpp
@@ -18,15 +18,15 @@
 
 /// Priority queues of a host's KV cache copies, one for each source server.
 ///
-/// A draining server may have more runs than its link can copy within the
-/// notice period: about nine runs of 3,500 tokens in 1.8 s. The runs that are
-/// lost should be those that end by themselves or have the lowest priority.
+/// A draining server may have more runs than its network link can copy within
+/// the notice period: about nine runs of 3,500 tokens in 1.8 s. The runs that
+/// are lost should be those that end by themselves or have the lowest priority.
 class copy_queue
 {
 public:
-    /// Concurrent copies of one host from one server. A copy waits for earlier
-    /// ones on the same link, and a run that is suspended in the stop-and-copy
-    /// phase must not wait long.
+    /// The maximum number of concurrent copies of one host from one source
+    /// server. A copy waits for earlier copies on the same network link, and a
+    /// run that is suspended in the stop-and-copy phase must not wait long.
     static constexpr std::size_t max_concurrent_copies = 1;
 
     using ticket = std::uint64_t;
@@ -43,7 +43,7 @@
 private:
     struct server_queue
     {
-        std::map<ticket, double> waiting; ///< With their priorities.
+        std::map<ticket, double> waiting; ///< Priorities by copy.
         std::set<ticket> copying;
     };
 
--- a/libraries/placement/src/load_ledger.cpp
+++ b/libraries/placement/src/load_ledger.cpp
@@ -98,8 +98,9 @@
     core::time_point now)
 {
     load_report& known = groups_[group];
-    // Reports arrive in order, and a link that lost some starts with a full
-    // report, so that changes apply to the previous report even if it expired.
+    // Reports arrive in order, and a connection between hosts that lost some
+    // starts again with a full report, so that changes apply to the previous
+    // report even if it expired.
     if (extent == report_extent::full) {
         uncount(known);
         known.work.clear();
--- a/libraries/replay/include/godwit/replay/engine_config.hpp
+++ b/libraries/replay/include/godwit/replay/engine_config.hpp
@@ -13,7 +13,7 @@
     std::uint64_t memory_tokens = 34'000;
     std::uint32_t slots = 24;
     double step_ms = 7.0; ///< Duration of a step without runs and prefill.
-    double step_ms_per_run = 0.12;
+    double step_ms_per_run = 0.12; ///< Added for each generation that runs.
     /// Prompt tokens that one step prefills.
     std::uint32_t prefill_chunk_tokens = 112;
     double prefill_tokens_per_ms = 14.0;
--- a/libraries/replay/src/fleet_replay.cpp
+++ b/libraries/replay/src/fleet_replay.cpp
@@ -269,7 +269,7 @@
     std::deque<load_report> reports_;
     std::vector<generation_progress> progress_;
     std::vector<std::size_t> changed_; ///< Hosts with changes to report.
-    std::vector<std::size_t> grown_;   ///< Hosts whose runs grew.
+    std::vector<std::size_t> grown_;   ///< Hosts whose generations grew.
     std::size_t next_request_ = 0;
     bool has_changes_ = false;
 };
