--- a/libraries/placement/include/godwit/placement/work_size.hpp
+++ b/libraries/placement/include/godwit/placement/work_size.hpp
@@ -15,7 +15,8 @@
     std::uint64_t tokens = 0;
     /// Prompt tokens that are still to be prefilled.
     std::uint64_t unread_tokens = 0;
-    /// The part of `tokens` that is still being copied to the server.
+    /// The part of `tokens` that is still being copied to the server over its
+    /// network link.
     std::uint64_t arriving_tokens = 0;
     event_gaps gaps = {}; ///< The event gaps of the streams that are decoding.
 
