--- a/libraries/admission/include/godwit/admission/request_quarantine.hpp
+++ b/libraries/admission/include/godwit/admission/request_quarantine.hpp
@@ -12,13 +12,14 @@
 
 namespace godwit::admission {
 
-/// Tracks the requests that crash the backend servers that run them.
+/// Tracks the requests that crash the backend servers that run them. A run is
+/// one execution of a request on a backend server.
 ///
 /// A server crash ends every run on that server and is counted for each of
 /// their requests. A request is quarantined after `crash_limit` crashes with no
 /// completed run in between. Requests that merely shared a server with a
 /// crashing one are cleared by their next completed run. Crashes of different
-/// servers, reported by different hosts, count together.
+/// servers count together, also if different hosts reported them.
 ///
 /// When a quarantine period ends, single runs of the request are permitted as
 /// trials, so that a request that was quarantined by mistake can be cleared.
@@ -42,9 +43,11 @@
     /// request that completes on one server does not crash every server.
     static constexpr core::duration completed_run_validity =
         std::chrono::seconds(5);
-    /// Minimum time between trials on one host, and the delay of the first
-    /// trial per host rank, so that a host can receive the result of an earlier
-    /// trial.
+    /// Minimum time between trials of a request on one host, and the delay of
+    /// the first trial on a host, multiplied by the host's rank: its zero-based
+    /// position among all hosts, in an order that the request determines by
+    /// rendezvous hashing. A host can thus receive the result of an earlier
+    /// trial on another host before it starts its own.
     static constexpr core::duration trial_interval = std::chrono::seconds(30);
     static constexpr std::size_t max_requests = 1024;
     static constexpr std::size_t max_requests_per_organisation = 256;
