--- a/tests/platform_adapter/stand_in_store.cpp
+++ b/tests/platform_adapter/fake_store.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_store.hpp"
+#include "fake_store.hpp"
 
 #include <godwit/core/time.hpp>
 #include <godwit/platform_adapter/store_codec.hpp>
@@ -43,7 +43,7 @@
     return bytes;
 }
 
-// What a store makes of bytes that are no text when it writes JSON.
+// Returns what a store writes into JSON for bytes that are not valid text.
 std::string lossy_text(const std::string& bytes)
 {
     constexpr const char* replacement = "\xef\xbf\xbd";
@@ -57,7 +57,7 @@
     return text;
 }
 
-std::string eight_bytes(std::uint64_t number)
+std::string big_endian_bytes(std::uint64_t number)
 {
     std::string bytes;
     for (int shift = 56; shift >= 0; shift -= 8)
@@ -75,23 +75,23 @@
 
 } // namespace
 
-stand_in_store::stand_in_store(asio::io_context& context)
+fake_store::fake_store(asio::io_context& context)
 {
     server_ = http::server::create(
                   context,
                   {http::endpoint::parse("127.0.0.1:0").value(), {}, {}},
-                  [this](http::exchange& asked) -> asio::awaitable<void> {
-                      co_await serve(asked);
+                  [this](http::exchange& exchange) -> asio::awaitable<void> {
+                      co_await serve(exchange);
                   })
                   .value();
 }
 
-const http::endpoint& stand_in_store::address() const
+const http::endpoint& fake_store::address() const
 {
     return server_->address();
 }
 
-void stand_in_store::put(
+void fake_store::put(
     const std::string& topic,
     const std::string& key,
     std::optional<std::string> value)
@@ -100,14 +100,14 @@
     topics_[topic].records.push_back({key, std::move(value)});
 }
 
-void stand_in_store::put_unreadable(const std::string& topic)
+void fake_store::put_unreadable(const std::string& topic)
 {
     const std::lock_guard lock(mutex_);
     topics_[topic].records.push_back({"", std::nullopt, true});
 }
 
 std::optional<std::pair<std::string, std::string>>
-stand_in_store::find(const std::string& topic, const std::string& key_prefix)
+fake_store::find(const std::string& topic, const std::string& key_prefix)
 {
     const std::lock_guard lock(mutex_);
     const auto& records = topics_[topic].records;
@@ -118,7 +118,7 @@
     return std::nullopt;
 }
 
-bool stand_in_store::has(const std::string& topic, const std::string& key)
+bool fake_store::has(const std::string& topic, const std::string& key)
 {
     const std::lock_guard lock(mutex_);
     bool has_value = false;
@@ -129,56 +129,56 @@
     return has_value;
 }
 
-void stand_in_store::compact()
+void fake_store::compact()
 {
     const std::lock_guard lock(mutex_);
     for (auto& [name, log] : topics_)
         log.first = log.records.size();
 }
 
-void stand_in_store::set_era(std::optional<std::string> era)
+void fake_store::set_epoch(std::optional<std::string> epoch)
 {
     const std::lock_guard lock(mutex_);
-    era_ = std::move(era);
+    epoch_ = std::move(epoch);
 }
 
-void stand_in_store::take_copy()
+void fake_store::back_up()
 {
     const std::lock_guard lock(mutex_);
-    copy_ = topics_;
+    backup_ = topics_;
 }
 
-void stand_in_store::restore(const std::vector<written_again>& records)
+void fake_store::restore(const std::vector<rewritten_record>& records)
 {
     const std::lock_guard lock(mutex_);
-    topics_ = copy_;
+    topics_ = backup_;
     ++restores_;
-    if (era_)
-        era_ = std::to_string(1 + restores_);
-    for (const written_again& one : records)
+    if (epoch_)
+        epoch_ = std::to_string(1 + restores_);
+    for (const rewritten_record& one : records)
         topics_[one.topic].records.push_back({one.key, one.value});
 }
 
 asio::awaitable<void>
-stand_in_store::answer_call(http::exchange& asked, http::response answer)
+fake_store::respond(http::exchange& exchange, http::response answer)
 {
     {
         const std::lock_guard lock(mutex_);
-        if (era_)
-            answer.fields.set("Store-Era", *era_);
+        if (epoch_)
+            answer.fields.set("Store-Era", *epoch_);
     }
     [[maybe_unused]] const auto sent =
-        co_await asked.respond(std::move(answer));
+        co_await exchange.respond(std::move(answer));
 }
 
-asio::awaitable<void> stand_in_store::serve(http::exchange& asked)
+asio::awaitable<void> fake_store::serve(http::exchange& exchange)
 {
     ++calls_;
-    const std::string target = asked.received().target;
+    const std::string target = exchange.received().target;
     http::response answer;
     answer.status = status_;
     if (status_ == 0 && target.starts_with("/api/log-read")) {
-        co_await read(asked);
+        co_await read(exchange);
         co_return;
     }
     if (status_ == 0) {
@@ -188,27 +188,27 @@
             answer.body =
                 newest(topic, percent_decoded(parameter(target, "after")));
         } else if (target.starts_with("/api/log-append")) {
-            append(topic, asked.received().body);
+            append(topic, exchange.received().body);
             answer.body = "{}";
         } else {
             answer.status = 404;
         }
     }
-    co_await answer_call(asked, std::move(answer));
+    co_await respond(exchange, std::move(answer));
 }
 
-asio::awaitable<void> stand_in_store::read(http::exchange& asked)
+asio::awaitable<void> fake_store::read(http::exchange& exchange)
 {
-    const std::string target = asked.received().target;
+    const std::string target = exchange.received().target;
     const std::string topic = parameter(target, "topic");
     const std::size_t from = std::stoul(parameter(target, "from"));
     const auto end =
         core::monotonic_now() +
         std::chrono::milliseconds(std::stol(parameter(target, "wait_ms")));
     http::response answer;
-    const unsigned lost_reads = lost_reads_;
+    const unsigned dropped_reads = dropped_reads_;
     while (true) {
-        if (lost_reads == lost_reads_) {
+        if (dropped_reads == dropped_reads_) {
             const std::lock_guard lock(mutex_);
             const topic_log& log = topics_[topic];
             if (from < log.first || from > log.records.size()) {
@@ -216,22 +216,22 @@
                 break;
             }
             if (log.records.size() > from || core::monotonic_now() >= end) {
-                answer.body =
-                    eight_bytes(log.records.size()) + eight_bytes(log.first);
+                answer.body = big_endian_bytes(log.records.size()) +
+                              big_endian_bytes(log.first);
                 for (std::size_t at = from; at < log.records.size(); ++at)
-                    answer.body += bytes_of(log.records[at]);
+                    answer.body += serialize(log.records[at]);
                 break;
             }
         }
         asio::steady_timer pause(
-            asked.executor(), std::chrono::milliseconds(2));
+            exchange.executor(), std::chrono::milliseconds(2));
         co_await pause.async_wait(asio::use_awaitable);
     }
-    co_await answer_call(asked, std::move(answer));
+    co_await respond(exchange, std::move(answer));
 }
 
-// A length that the record does not have stands for the key's.
-std::string stand_in_store::bytes_of(const record& one)
+// The key length of a malformed record exceeds the record.
+std::string fake_store::serialize(const record& one)
 {
     using namespace std::string_literals;
     if (one.is_unreadable)
@@ -240,7 +240,7 @@
 }
 
 std::string
-stand_in_store::newest(const std::string& topic, const std::string& after)
+fake_store::newest(const std::string& topic, const std::string& after)
 {
     const std::lock_guard lock(mutex_);
     std::map<std::string, std::optional<std::string>> latest;
@@ -269,11 +269,11 @@
         {"end", topics_[topic].records.size()}});
 }
 
-void stand_in_store::append(const std::string& topic, const std::string& body)
+void fake_store::append(const std::string& topic, const std::string& body)
 {
     ++appends_;
     const auto page =
-        read_records(eight_bytes(1000000) + eight_bytes(0) + body, 0);
+        read_records(big_endian_bytes(1000000) + big_endian_bytes(0) + body, 0);
     if (!page)
         return;
     for (const keyed_record& one : page->records)
--- a/tests/platform_adapter/restored_store_test.cpp
+++ b/tests/platform_adapter/restored_store_test.cpp
@@ -1,7 +1,7 @@
-// A store that restarts from an older copy of its records loses what came since
-// and gives its offsets out again.
+// Guards against missed records after the store restarts from an older copy: it
+// loses all later records and reuses their offsets.
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -12,126 +12,128 @@
 namespace {
 
 using namespace godwit;
-using platform_adapter::test::world;
+using platform_adapter::test::testbed;
 
 class restored_store_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(restored_store_test);
-    CPPUNIT_TEST(test_a_version_at_a_reused_offset_comes_into_force);
-    CPPUNIT_TEST(test_a_shorter_log_is_noticed_without_an_era);
+    CPPUNIT_TEST(test_a_version_at_a_reused_offset_is_applied);
+    CPPUNIT_TEST(test_a_shorter_log_reveals_a_restore_without_epochs);
     CPPUNIT_TEST(test_two_restores_within_a_second);
     CPPUNIT_TEST(
-        test_an_accepted_version_stays_while_the_store_has_an_older_one);
-    CPPUNIT_TEST(test_an_open_read_of_another_topic_is_abandoned);
-    CPPUNIT_TEST(test_a_living_server_that_the_copy_lacks_stays_in_use);
-    CPPUNIT_TEST(test_a_server_that_is_not_listed_again_is_gone);
-    CPPUNIT_TEST(test_a_server_that_left_is_not_used_again);
-    CPPUNIT_TEST(test_an_entry_that_is_written_again_unchanged_counts);
-    CPPUNIT_TEST(test_a_hosts_own_record_is_written_again);
-    CPPUNIT_TEST(test_hosts_that_the_copy_lacks_stay_known);
+        test_a_version_is_kept_when_the_restored_store_has_an_older_one);
+    CPPUNIT_TEST(test_an_open_read_of_another_topic_is_cancelled);
+    CPPUNIT_TEST(test_a_running_server_missing_in_the_backup_stays_usable);
+    CPPUNIT_TEST(test_a_server_that_does_not_register_again_is_removed);
+    CPPUNIT_TEST(test_a_restored_record_does_not_revive_a_draining_server);
+    CPPUNIT_TEST(test_an_unchanged_rewritten_record_counts);
+    CPPUNIT_TEST(test_a_host_rewrites_its_missing_record);
+    CPPUNIT_TEST(test_hosts_missing_in_the_backup_stay_known);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
     void wait_for_version(unsigned version)
     {
-        world::wait("the version", [this, version] {
-            return world_.table_version() == version;
+        testbed::wait_until("the version", [this, version] {
+            return testbed_.table_version() == version;
         });
     }
 
-    // As many versions are written anew as were lost, so no read's offset is
+    // As many versions are written as were lost, so that no read's offset is
     // beyond the end.
-    void test_a_version_at_a_reused_offset_comes_into_force()
+    void test_a_version_at_a_reused_offset_is_applied()
     {
-        world_.begin();
-        world_.store().take_copy();
+        testbed_.start();
+        testbed_.store().back_up();
         for (const unsigned version : {2U, 4U, 5U}) {
-            world_.publish(version);
+            testbed_.publish(version);
             wait_for_version(version);
         }
-        world_.store().restore(
-            {world_.table_record(5),
-             world_.table_record(7),
-             world_.table_record(8, "k2")});
+        testbed_.store().restore(
+            {testbed_.table_record(5),
+             testbed_.table_record(7),
+             testbed_.table_record(8, "k2")});
         wait_for_version(8);
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/", "k2").status);
+        CPPUNIT_ASSERT_EQUAL(
+            200U, testbed_.call("POST", "/plain/", "k2").status);
     }
 
-    // One topic's shorter log shows it; the other's has the length it had.
-    void test_a_shorter_log_is_noticed_without_an_era()
+    // One topic's shorter log reveals the restore; the other log is as long as
+    // before.
+    void test_a_shorter_log_reveals_a_restore_without_epochs()
     {
-        world_.store().set_era(std::nullopt);
-        begin_registered();
-        world_.store().take_copy();
-        world_.publish(2);
+        testbed_.store().set_epoch(std::nullopt);
+        start_registered();
+        testbed_.store().back_up();
+        testbed_.publish(2);
         wait_for_version(2);
-        world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
+        testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
-        world_.store().restore({host("h9"), host("h8")});
+        testbed_.store().restore({host("h9"), host("h8")});
         wait_for_fleet(3);
     }
 
     void test_two_restores_within_a_second()
     {
-        world_.begin();
-        world_.store().take_copy();
-        world_.publish(2);
+        testbed_.start();
+        testbed_.store().back_up();
+        testbed_.publish(2);
         wait_for_version(2);
-        world_.store().restore({world_.table_record(3)});
-        world_.store().restore({world_.table_record(5)});
+        testbed_.store().restore({testbed_.table_record(3)});
+        testbed_.store().restore({testbed_.table_record(5)});
         wait_for_version(5);
     }
 
-    void test_an_accepted_version_stays_while_the_store_has_an_older_one()
+    void test_a_version_is_kept_when_the_restored_store_has_an_older_one()
     {
-        world_.begin();
-        world_.store().take_copy();
-        world_.publish(2, "k2");
+        testbed_.start();
+        testbed_.store().back_up();
+        testbed_.publish(2, "k2");
         wait_for_version(2);
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
-        wait_for_reading_anew(calls);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.table_version());
-        CPPUNIT_ASSERT_EQUAL(200U, world_.call("POST", "/plain/", "k2").status);
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
+        wait_for_resync(calls);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, testbed_.table_version());
+        CPPUNIT_ASSERT_EQUAL(
+            200U, testbed_.call("POST", "/plain/", "k2").status);
     }
 
-    // A read of the hosts is held open for half a minute; the era that another
-    // topic's answer names ends it.
-    void test_an_open_read_of_another_topic_is_abandoned()
+    // A read of the hosts topic is held open for half a minute; the epoch in
+    // the response of another topic ends it.
+    void test_an_open_read_of_another_topic_is_cancelled()
     {
-        begin_registered();
-        world_.store().take_copy();
-        world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
+        start_registered();
+        testbed_.store().back_up();
+        testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
-        world_.store().restore({host("h9"), host("h8")});
+        testbed_.store().restore({host("h9"), host("h8")});
         wait_for_fleet(3);
     }
 
-    static platform_adapter::test::stand_in_store::written_again
+    static platform_adapter::test::fake_store::rewritten_record
     host(const std::string& name)
     {
         return {"keyed.hosts", name, "127.0.0.1:9/east"};
     }
 
-    void begin_registered()
+    void start_registered()
     {
-        world_.begin();
-        world::wait("registration", [this] {
-            return world_.store().find("keyed.hosts", "h1").has_value();
+        testbed_.start();
+        testbed::wait_until("registration", [this] {
+            return testbed_.store().find("keyed.hosts", "h1").has_value();
         });
     }
 
     bool is_usable(const std::string& id)
     {
-        return world_.look<bool>([&id](auto& process) {
+        return testbed_.run_on_host<bool>([&id](auto& process) {
             return process.context().directory.is_usable(
                 placement::server_id(id));
         });
     }
 
-    /// Looks for as long as a server may take to list itself again, with some
-    /// time beyond it.
+    /// Checks for somewhat longer than a server may take to register again.
     bool stays_usable(const std::string& id)
     {
         for (int count = 0; count < 150; ++count) {
@@ -142,99 +144,100 @@
         return true;
     }
 
-    void begin_with_second_lost()
+    void start_with_second_server_not_backed_up()
     {
-        world_.begin_with_first();
-        world_.store().take_copy();
-        world_.list(world_.second(), "ready");
+        testbed_.start_with_first_server();
+        testbed_.store().back_up();
+        testbed_.register_server(testbed_.second_server(), "ready");
     }
 
-    platform_adapter::test::stand_in_store::written_again second_entry()
+    platform_adapter::test::fake_store::rewritten_record second_server_record()
     {
-        const auto found = world_.store().find("keyed.servers", "i-2");
+        const auto found = testbed_.store().find("keyed.servers", "i-2");
         return {"keyed.servers", "i-2", found.value().second};
     }
 
-    void wait_for_reading_anew(unsigned calls)
+    void wait_for_resync(unsigned calls)
     {
-        world::wait("reads", [this, calls] {
-            return world_.store().calls() >= calls + 6;
+        testbed::wait_until("reads", [this, calls] {
+            return testbed_.store().calls() >= calls + 6;
         });
     }
 
-    void test_a_living_server_that_the_copy_lacks_stays_in_use()
+    void test_a_running_server_missing_in_the_backup_stays_usable()
     {
-        begin_with_second_lost();
-        const auto entry = second_entry();
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
-        wait_for_reading_anew(calls);
+        start_with_second_server_not_backed_up();
+        const auto record = second_server_record();
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
+        wait_for_resync(calls);
         CPPUNIT_ASSERT(is_usable("i-2"));
-        world_.store().put(entry.topic, entry.key, entry.value);
+        testbed_.store().put(record.topic, record.key, record.value);
         CPPUNIT_ASSERT(stays_usable("i-2"));
     }
 
-    void test_a_server_that_is_not_listed_again_is_gone()
+    void test_a_server_that_does_not_register_again_is_removed()
     {
-        begin_with_second_lost();
-        world_.store().restore();
-        world::wait("the server's end", [this] { return !is_usable("i-2"); });
+        start_with_second_server_not_backed_up();
+        testbed_.store().restore();
+        testbed::wait_until(
+            "the server's end", [this] { return !is_usable("i-2"); });
         CPPUNIT_ASSERT(is_usable("i-1"));
     }
 
-    void test_a_server_that_left_is_not_used_again()
+    void test_a_restored_record_does_not_revive_a_draining_server()
     {
-        world_.begin();
-        world_.store().take_copy();
-        world_.list(world_.second(), "draining");
-        const unsigned calls = world_.store().calls();
-        // The copy shows it ready.
-        world_.store().restore();
-        wait_for_reading_anew(calls);
+        testbed_.start();
+        testbed_.store().back_up();
+        testbed_.register_server(testbed_.second_server(), "draining");
+        const unsigned calls = testbed_.store().calls();
+        // In the backup it is ready.
+        testbed_.store().restore();
+        wait_for_resync(calls);
         CPPUNIT_ASSERT(!is_usable("i-2"));
         CPPUNIT_ASSERT(is_usable("i-1"));
     }
 
-    // The first reading of the copy finds it missing, the second one lists it
-    // as it was known.
-    void test_an_entry_that_is_written_again_unchanged_counts()
+    // In the first read after the restore the record is missing; in the second
+    // it is there again, unchanged.
+    void test_an_unchanged_rewritten_record_counts()
     {
-        begin_with_second_lost();
-        const auto entry = second_entry();
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
-        wait_for_reading_anew(calls);
-        world_.store().restore({entry});
+        start_with_second_server_not_backed_up();
+        const auto record = second_server_record();
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
+        wait_for_resync(calls);
+        testbed_.store().restore({record});
         CPPUNIT_ASSERT(stays_usable("i-2"));
     }
 
-    void test_a_hosts_own_record_is_written_again()
+    void test_a_host_rewrites_its_missing_record()
     {
-        begin_registered();
-        world_.store().put("keyed.hosts", "h1", std::nullopt);
-        world_.store().take_copy();
-        world_.store().restore();
-        world::wait("the record", [this] {
-            return world_.store().has("keyed.hosts", "h1");
+        start_registered();
+        testbed_.store().put("keyed.hosts", "h1", std::nullopt);
+        testbed_.store().back_up();
+        testbed_.store().restore();
+        testbed::wait_until("the record", [this] {
+            return testbed_.store().has("keyed.hosts", "h1");
         });
     }
 
-    void test_hosts_that_the_copy_lacks_stay_known()
+    void test_hosts_missing_in_the_backup_stay_known()
     {
-        begin_registered();
-        world_.store().take_copy();
-        world_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
+        start_registered();
+        testbed_.store().back_up();
+        testbed_.store().put("keyed.hosts", "h8", "127.0.0.1:8/east");
         wait_for_fleet(2);
-        const unsigned calls = world_.store().calls();
-        world_.store().restore();
-        wait_for_reading_anew(calls);
+        const unsigned calls = testbed_.store().calls();
+        testbed_.store().restore();
+        wait_for_resync(calls);
         wait_for_fleet(2);
     }
 
     void wait_for_fleet(std::size_t size)
     {
-        world::wait("the fleet", [this, size] {
-            return world_.look<std::size_t>([](auto& process) {
+        testbed::wait_until("the fleet", [this, size] {
+            return testbed_.run_on_host<std::size_t>([](auto& process) {
                 return process.fleet_size();
             }) == size;
         });
--- a/tests/platform_adapter/restored_tables_model_test.cpp
+++ b/tests/platform_adapter/restored_tables_model_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t hosts = 2;
 
-// What may be left to do after a search: enough rounds for all to settle.
+// Enough rounds for all hosts to reach a final state after a search.
 constexpr int settling_rounds = 8;
 
 /// A version of the table.
@@ -28,29 +28,31 @@
     [[nodiscard]] std::string key() const { return std::to_string(version); }
 };
 
-/// The operator, its topic, and hosts that tell each other of versions.
+/// Model of the operator, its topic, and hosts that announce versions to each
+/// other.
 class table_model
 {
 public:
     static constexpr int depth = 10;
 
-    /// The steps that are possible now, each made on a copy.
+    /// Returns the states after each possible step.
     [[nodiscard]] std::vector<table_model> successors() const
     {
         successor_list<table_model> made(*this);
-        made.add(newest_ < most_versions, [](auto& next) { next.publish(); });
-        made.add(is_lost(), [](auto& next) { next.write_again(); });
-        made.add(store_.copied < store_.log.size(), [](auto& next) {
-            next.store_.copied = next.store_.log.size();
+        made.add(newest_ < max_versions, [](auto& next) { next.publish(); });
+        made.add(is_lost(), [](auto& next) { next.rewrite(); });
+        made.add(store_.backed_up < store_.log.size(), [](auto& next) {
+            next.store_.backed_up = next.store_.log.size();
+        });
+        made.add(store_.epoch < last_epoch, [](auto& next) {
+            next.store_.restore();
         });
-        made.add(
-            store_.era < last_era, [](auto& next) { next.store_.restore(); });
         for (std::size_t host = 0; host < hosts; ++host) {
-            made.add(!hosts_[host].reader.answer, [host](auto& next) {
-                next.ask(host);
+            made.add(!hosts_[host].reader.response, [host](auto& next) {
+                next.request(host);
             });
             made.add(
-                hosts_[host].reader.answer.has_value(),
+                hosts_[host].reader.response.has_value(),
                 [host](auto& next) { next.deliver(host); });
             made.add(
                 hosts_[host].announced > hosts_[host].version,
@@ -60,12 +62,13 @@
         return made.take();
     }
 
-    /// Empty unless the rules are broken by now, or once all has settled.
-    [[nodiscard]] std::string broken() const
+    /// Returns the violated invariant, now or in the final state; empty if
+    /// none.
+    [[nodiscard]] std::string violation() const
     {
         for (const host_model& host : hosts_) {
-            if (host.went_back)
-                return "a host went back";
+            if (host.reverted)
+                return "a host reverted to an older version";
         }
         table_model settled = *this;
         settled.settle();
@@ -88,26 +91,26 @@
         return text;
     }
 
-    /// Both hosts have the first version, and the copy holds it.
+    /// Both hosts and the backup have the first version.
     static table_model start()
     {
         table_model made;
         made.publish();
-        made.store_.copied = 1;
+        made.store_.backed_up = 1;
         made.settle();
         return made;
     }
 
 private:
-    static constexpr unsigned most_versions = 5;
-    static constexpr unsigned last_era = 3;
+    static constexpr unsigned max_versions = 5;
+    static constexpr unsigned last_epoch = 3;
 
     struct host_model
     {
         reader_model<version_record> reader;
         unsigned version = 0;
         unsigned announced = 0;
-        bool went_back = false;
+        bool reverted = false;
     };
 
     void publish()
@@ -121,29 +124,29 @@
         return store_.log.empty() || store_.log.back().version < newest_;
     }
 
-    void write_again() { store_.log.push_back({newest_}); }
+    void rewrite() { store_.log.push_back({newest_}); }
 
-    void ask(std::size_t host) { hosts_[host].reader.ask(store_); }
+    void request(std::size_t host) { hosts_[host].reader.request(store_); }
 
     void deliver(std::size_t host)
     {
         hosts_[host].reader.deliver(
             [] {},
-            [this, host](const auto& answer) {
-                for (const version_record& record : answer.records)
-                    take(host, record.version);
+            [this, host](const auto& response) {
+                for (const version_record& record : response.records)
+                    apply(host, record.version);
             });
     }
 
-    void take(std::size_t host, unsigned version)
+    void apply(std::size_t host, unsigned version)
     {
-        host_model& taker = hosts_[host];
-        const unsigned before = taker.version;
-        // As entry_process::has_version decides.
+        host_model& applying_host = hosts_[host];
+        const unsigned before = applying_host.version;
+        // The same decision as in entry_process::has_version.
         if (version <= before)
             return;
-        taker.version = version;
-        taker.went_back = taker.version < before;
+        applying_host.version = version;
+        applying_host.reverted = applying_host.version < before;
         for (host_model& other : hosts_)
             other.announced = std::max(other.announced, version);
     }
@@ -154,10 +157,10 @@
             hosts_.begin(), hosts_.end(), [](const auto& one, const auto& two) {
                 return one.version < two.version;
             });
-        take(host, best->version);
+        apply(host, best->version);
     }
 
-    // A new life, greeted by its neighbours.
+    // Restarts the host; its neighbours announce their versions to it.
     void start(std::size_t host)
     {
         ++starts_;
@@ -170,11 +173,11 @@
     void settle()
     {
         if (is_lost())
-            write_again();
+            rewrite();
         for (int round = 0; round < settling_rounds; ++round) {
             for (std::size_t host = 0; host < hosts; ++host) {
-                if (!hosts_[host].reader.answer)
-                    ask(host);
+                if (!hosts_[host].reader.response)
+                    request(host);
                 deliver(host);
             }
         }
--- a/tests/platform_adapter/suspended_host_test.cpp
+++ b/tests/platform_adapter/suspended_host_test.cpp
@@ -1,7 +1,7 @@
-// A machine that was suspended knows nothing of what happened meanwhile, and
-// its requests arrive before the answers of the store do.
+// Guards against serving requests with outdated keys and servers after the
+// machine was suspended: requests arrive before the responses of the store.
 
-#include "world.hpp"
+#include "testbed.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,58 +14,59 @@
 namespace {
 
 using namespace godwit;
-using platform_adapter::test::world;
+using platform_adapter::test::testbed;
 
 class suspended_host_test : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(suspended_host_test);
-    CPPUNIT_TEST(test_a_key_that_was_dropped_meanwhile_is_unknown);
-    CPPUNIT_TEST(test_a_key_that_was_added_meanwhile_is_known);
-    CPPUNIT_TEST(test_a_large_table_that_came_meanwhile_is_waited_for);
-    CPPUNIT_TEST(test_a_server_that_left_meanwhile_gets_nothing);
-    CPPUNIT_TEST(test_without_its_store_it_serves_on);
+    CPPUNIT_TEST(test_a_key_removed_during_the_suspension_is_refused);
+    CPPUNIT_TEST(test_a_key_added_during_the_suspension_is_accepted);
+    CPPUNIT_TEST(test_requests_wait_for_a_large_table_published_meanwhile);
+    CPPUNIT_TEST(test_a_server_removed_during_the_suspension_gets_no_requests);
+    CPPUNIT_TEST(test_requests_are_served_while_the_store_is_unavailable);
     CPPUNIT_TEST_SUITE_END();
 
-    world world_;
+    testbed testbed_;
 
-    /// The status of a request that arrives while the host is suspended.
+    /// Returns the status of a request that arrives while the host is
+    /// suspended.
     unsigned status_after_suspension(
         const std::string& key, const std::function<void()>& meanwhile)
     {
         std::future<unsigned> status;
-        world_.suspend(std::chrono::seconds(30), [&] {
-            world_.store().lose_open_reads();
+        testbed_.suspend(std::chrono::seconds(30), [&] {
+            testbed_.store().drop_open_reads();
             meanwhile();
             status = std::async(std::launch::async, [this, &key] {
-                return world_.call("POST", "/plain/", key).status;
+                return testbed_.call("POST", "/plain/", key).status;
             });
-            // Until its bytes are there.
+            // Until its bytes have arrived.
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
         });
         return status.get();
     }
 
-    void begin_with_key(const std::string& key)
+    void start_with_key(const std::string& key)
     {
-        world_.begin();
-        world_.publish(2, key);
-        world::wait(
-            "version 2", [this] { return world_.table_version() == 2; });
+        testbed_.start();
+        testbed_.publish(2, key);
+        testbed::wait_until(
+            "version 2", [this] { return testbed_.table_version() == 2; });
     }
 
-    void test_a_key_that_was_dropped_meanwhile_is_unknown()
+    void test_a_key_removed_during_the_suspension_is_refused()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         const unsigned status =
-            status_after_suspension("k2", [this] { world_.publish(3); });
+            status_after_suspension("k2", [this] { testbed_.publish(3); });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 
-    void test_a_key_that_was_added_meanwhile_is_known()
+    void test_a_key_added_during_the_suspension_is_accepted()
     {
-        begin_with_key("k2");
-        const unsigned status =
-            status_after_suspension("k3", [this] { world_.publish(3, "k3"); });
+        start_with_key("k2");
+        const unsigned status = status_after_suspension(
+            "k3", [this] { testbed_.publish(3, "k3"); });
         CPPUNIT_ASSERT_EQUAL(200U, status);
     }
 
@@ -80,40 +81,40 @@
         return text.replace(text.find(begin), begin.size(), routes);
     }
 
-    // It is read in slices, between which requests are looked at.
-    void test_a_large_table_that_came_meanwhile_is_waited_for()
+    // The table is parsed in slices, and requests are handled between them.
+    void test_requests_wait_for_a_large_table_published_meanwhile()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         const unsigned status = status_after_suspension("k2", [this] {
-            world_.store().put("keyed.op", "config", large_table(3));
+            testbed_.store().put("keyed.op", "config", large_table(3));
         });
         CPPUNIT_ASSERT_EQUAL(401U, status);
     }
 
-    void test_a_server_that_left_meanwhile_gets_nothing()
+    void test_a_server_removed_during_the_suspension_gets_no_requests()
     {
-        world_.begin();
-        const std::size_t before = world_.second().count("/plain/");
+        testbed_.start();
+        const std::size_t before = testbed_.second_server().count("/plain/");
         std::vector<std::future<unsigned>> others;
         const unsigned status = status_after_suspension("k1", [this, &others] {
-            world_.store().put("keyed.servers", "i-2", std::nullopt);
+            testbed_.store().put("keyed.servers", "i-2", std::nullopt);
             for (int count = 0; count < 8; ++count)
                 others.push_back(std::async(std::launch::async, [this] {
-                    return world_.call("POST", "/plain/").status;
+                    return testbed_.call("POST", "/plain/").status;
                 }));
         });
         CPPUNIT_ASSERT_EQUAL(200U, status);
         for (auto& other : others)
             CPPUNIT_ASSERT_EQUAL(200U, other.get());
-        CPPUNIT_ASSERT_EQUAL(before, world_.second().count("/plain/"));
+        CPPUNIT_ASSERT_EQUAL(before, testbed_.second_server().count("/plain/"));
     }
 
-    void test_without_its_store_it_serves_on()
+    void test_requests_are_served_while_the_store_is_unavailable()
     {
-        begin_with_key("k2");
+        start_with_key("k2");
         constexpr unsigned unavailable = 503;
         const unsigned status = status_after_suspension(
-            "k2", [this] { world_.store().answer_with(unavailable); });
+            "k2", [this] { testbed_.store().set_status(unavailable); });
         CPPUNIT_ASSERT_EQUAL(200U, status);
     }
 };
